--- a/benches/slopes.py
+++ b/benches/slopes.py
@@ -33,10 +33,10 @@
     encode_claims,
 )
 from robinspindle.core.dispatch import HELLO_S, MOST_HELLO_S, PEERS_AT_FULL_RATE
-from robinspindle.core.fold import apply
 from robinspindle.core.records import Published, encode_record
 from robinspindle.core.routing import View, estimate_answer, make_choose_by_estimate
 from robinspindle.core.state import State, encode_state
+from robinspindle.core.statemachine import apply
 from robinspindle.logservice import CONTROL, LogService
 from robinspindle.messages import Hello, Report, Work, decode_message, encode_message
 from robinspindle.tables import format_table
--- a/fuzz/driver.py
+++ b/fuzz/driver.py
@@ -8,7 +8,7 @@
 from fuzz.oracle import Oracle, check_end, check_now
 from fuzz.rules import ENTRIES, RULES, TARGETS, write_configuration
 from fuzz.world import World
-from robinspindle.core.records import Found, Published
+from robinspindle.core.records import ObservedEngine, Published
 
 HEAL_S = 150.0
 SETTLE_S = 15.0
@@ -50,7 +50,7 @@
     world = World(seed, text)
     for number, name in enumerate(TARGETS):
         is_service = name.startswith("s")
-        first = Found() if is_service else Found(model="model")
+        first = ObservedEngine() if is_service else ObservedEngine(model="model")
         target = FakeTarget(name, is_service, number % 2 == 0, first, first)
         world.add_agent(target)
     for number, name in enumerate(ENTRIES):
--- a/fuzz/fakes.py
+++ b/fuzz/fakes.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import dataclass, field
 
-from robinspindle.core.records import Found, Step
+from robinspindle.core.records import ObservedEngine, Step
 from robinspindle.messages import Work
 
 STEP_S = 0.05
@@ -85,8 +85,8 @@
     name: str
     is_service: bool
     checks_fence: bool
-    found: Found
-    first: Found
+    found: ObservedEngine
+    first: ObservedEngine
     boot: int = 0
     fence: int = -1
     busy_until: float = 0.0
@@ -162,14 +162,14 @@
         """Take the order's effect on."""
         found = self.found
         if step.action == "role":
-            self.found = Found(
+            self.found = ObservedEngine(
                 role=step.role,
                 model=found.model,
                 adapters=found.adapters,
                 version=found.version,
             )
         elif step.action == "load":
-            self.found = Found(
+            self.found = ObservedEngine(
                 role=found.role,
                 model=step.model,
                 adapters=step.adapters,
--- a/fuzz/gatewaymutants.py
+++ b/fuzz/gatewaymutants.py
@@ -22,7 +22,7 @@
 GATEWAY_MUTANTS = (
     Mutant("use a claim for ever", authority, "may_use", lambda r: lambda *_: True),
     Mutant("claim without waiting", authority, "may_claim", lambda r: lambda *_: True),
-    Mutant("wait for less than a lease", authority, "WAIT_SHARE", lambda r: 0.5),
+    Mutant("wait for less than a lease", authority, "CLAIM_WAIT_LEASES", lambda r: 0.5),
     Mutant("go back to any version", routes, "is_newer", lambda r: lambda *_: True),
     Mutant("take a notice back", targets, "note_announced", _announce_as_told),
     Mutant("ignore starts", targets, "is_later", lambda r: lambda *_: False),
--- a/fuzz/mutants.py
+++ b/fuzz/mutants.py
@@ -11,12 +11,12 @@
 from robinspindle.core import (
     claims,
     dispatch,
-    fold,
     host,
     orders,
     plans,
     runs,
     scheduling,
+    statemachine,
     streams,
     watching,
 )
@@ -142,7 +142,7 @@
 
 def _allow_two(right):
     def decide(executor, target, now, is_idle):
-        executor.given, executor.busy = -1, False
+        executor.active_order, executor.busy = -1, False
         return right(executor, target, now, is_idle)
 
     return decide
@@ -194,7 +194,7 @@
 
 
 MUTANTS = (
-    Mutant("ignore the fence", fold._HANDLERS, RoleActed, _ignore_fence),
+    Mutant("ignore the fence", statemachine._HANDLERS, RoleActed, _ignore_fence),
     Mutant(
         "start before the claim has won",
         dispatch,
@@ -240,7 +240,9 @@
         "_find_pool_shortage",
         lambda right: lambda state, targets, leaving: "",
     ),
-    Mutant("start without the checkpoint", fold, "_find_start", _skip_checkpoint),
+    Mutant(
+        "start without the checkpoint", statemachine, "_find_start", _skip_checkpoint
+    ),
     Mutant(
         "hold back a final answer",
         watching,
--- a/fuzz/world.py
+++ b/fuzz/world.py
@@ -24,7 +24,12 @@
     Send,
 )
 from robinspindle.core.flights import Dispatcher, Promise
-from robinspindle.core.records import AnyRecord, Checkpoint, Found, encode_record
+from robinspindle.core.records import (
+    AnyRecord,
+    Checkpoint,
+    ObservedEngine,
+    encode_record,
+)
 from robinspindle.core.runs import Host
 from robinspindle.core.state import encode_state
 from robinspindle.logservice import CLAIMS, CONTROL, RecordsRead
@@ -336,7 +341,7 @@
 
     def _ask_engine(self, process: Process) -> None:
         target = self.targets[process.name]
-        found = Found() if target.is_service else target.found
+        found = ObservedEngine() if target.is_service else target.found
         busy = target.is_busy(self.now)
         effects = host.note_engine(
             process.host, self.now, found, busy, str(target.boot)
--- a/src/robinspindle/agent.py
+++ b/src/robinspindle/agent.py
@@ -203,7 +203,7 @@
                 host.note_engine(
                     self.host,
                     now,
-                    item.state.to_found(),
+                    item.state.to_observed(),
                     item.state.busy,
                     item.state.boot,
                 )
@@ -217,7 +217,7 @@
             return
         log("An order ended.", order=item.order, reason=item.reason or "done")
         self.metrics.orders.labels("failed" if item.reason else "done").inc()
-        found = item.state.to_found() if item.state else None
+        found = item.state.to_observed() if item.state else None
         self._carry_out(host.end_order(self.host, now, item.order, found, item.reason))
 
     def _carry_out(self, effects: list[Effect]) -> None:
--- a/src/robinspindle/cachelists.py
+++ b/src/robinspindle/cachelists.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from robinspindle.calls import CallLimits, call_once
-from robinspindle.core.authority import is_first
+from robinspindle.core.authority import has_lowest_name
 from robinspindle.core.engines import Engine, note_held
 from robinspindle.core.forwarding import Part
 from robinspindle.core.targets import Target
@@ -66,7 +66,7 @@
             await asyncio.sleep(PEERS_FIRST_S)
         await asyncio.sleep(PEERS_FIRST_S)
         self._fleet.knows_new_caches = True
-        if not is_first(self._peers.name, list_heard(self._peers)):
+        if not has_lowest_name(self._peers.name, list_heard(self._peers)):
             return
         unknown = [
             (target, engine)
--- a/src/robinspindle/callers.py
+++ b/src/robinspindle/callers.py
@@ -75,7 +75,7 @@
         HttpError: If it carries none, or one that is not known.
     """
     # Digests are looked up, so the time of a look-up tells nothing of a key.
-    workspace = configuration.owners.get(digest_bearer_key(request.bearer))
+    workspace = configuration.workspaces_by_key.get(digest_bearer_key(request.bearer))
     if workspace is None:
         text = "the bearer key is missing or not known"
         raise make_error(401, "invalid_api_key", text)
--- a/src/robinspindle/choosing.py
+++ b/src/robinspindle/choosing.py
@@ -9,7 +9,11 @@
 from robinspindle.core.forwarding import Prompt, Request
 from robinspindle.core.paces import estimate_busy_s
 from robinspindle.core.reading import Plan
-from robinspindle.core.rebalance import Demand, note_demand, read_demand
+from robinspindle.core.rebalancing import (
+    PrefillDemand,
+    compute_prefill_load,
+    note_prefill_demand,
+)
 from robinspindle.core.routes import Route
 from robinspindle.core.selection import choose_target
 from robinspindle.core.targets import Target
@@ -30,7 +34,7 @@
     """
 
     def __init__(self, means: Means, rng: random.Random):
-        self.demands: dict[str, Demand] = {}
+        self.demands: dict[str, PrefillDemand] = {}
         self._means = means
         self._rng = rng
         self._turns = Turns()
@@ -140,7 +144,7 @@
     def read_rate(self, service: str) -> float:
         """Seconds of a reader's work that this gateway is asked for in a second."""
         demand = self.demands.get(service)
-        return read_demand(demand, self._means.clock()) if demand else 0.0
+        return compute_prefill_load(demand, self._means.clock()) if demand else 0.0
 
     def list_read_rates(self) -> dict[str, float]:
         """List the same for all services that were asked for."""
@@ -168,8 +172,8 @@
         context = passage.request.prompt.tokens - plan.unread
         pace = self._means.fleet.find_pace(passage.service, reads_only=True)
         seconds = estimate_busy_s(pace, plan.unread, context)
-        demand = self.demands.setdefault(passage.service, Demand())
-        note_demand(demand, now, seconds)
+        demand = self.demands.setdefault(passage.service, PrefillDemand())
+        note_prefill_demand(demand, now, seconds)
 
     def _choose_plainly(
         self, pairs: list[tuple[Target, Engine | None]], now: float
--- a/src/robinspindle/commands.py
+++ b/src/robinspindle/commands.py
@@ -21,7 +21,7 @@
     Standing,
     Undrain,
 )
-from robinspindle.core.state import ENDED, PLAN_DONE
+from robinspindle.core.state import FINAL_STATUSES, PLAN_DONE
 from robinspindle.core.workspaces import digest_bearer_key
 from robinspindle.exceptions import ApiError, Finding, InvalidDocumentError
 from robinspindle.explaining import format_story, read_lines, tell_story
@@ -302,7 +302,7 @@
 def _follow(client: OperatorClient, value: dict) -> dict:
     """Show a plan's progress until it has ended."""
     shown = -1
-    while value["status"] not in ENDED:
+    while value["status"] not in FINAL_STATUSES:
         if value["step"] != shown:
             shown = value["step"]
             total = len(value["steps"])
--- a/src/robinspindle/controlstream.py
+++ b/src/robinspindle/controlstream.py
@@ -1,9 +1,9 @@
 """The control stream in a process: folded records, kept for peers too."""
 
 from robinspindle.core import catchup
-from robinspindle.core.fold import apply, fold_retained
 from robinspindle.core.records import decode_record
 from robinspindle.core.state import State
+from robinspindle.core.statemachine import apply, restore_state
 from robinspindle.exceptions import LogIncompleteError
 from robinspindle.logservice import RecordsRead
 from robinspindle.messages import Fetch, Records
@@ -52,7 +52,7 @@
         """Begin anew from a checkpoint, after records were trimmed unread."""
         try:
             pairs = list(enumerate(read.records, read.first))
-            state = fold_retained(pairs, read.first)
+            state = restore_state(pairs, read.first)
         except LogIncompleteError:
             return
         # A checkpoint that covers less than what is known must not turn it back.
--- a/src/robinspindle/core/authority.py
+++ b/src/robinspindle/core/authority.py
@@ -8,10 +8,10 @@
 
 from dataclasses import dataclass
 
-USE_SHARE = 0.4
+CLAIM_USE_LEASES = 0.4
 """Share of a lease for which a claim is used."""
 
-WAIT_SHARE = 1.6
+CLAIM_WAIT_LEASES = 1.6
 """Leases that must pass after another's claim was seen."""
 
 
@@ -51,7 +51,7 @@
     era: int = 0
 
 
-LOST = "?"
+UNKNOWN_HOLDER = "?"
 """Stands for a holder whose claim the store may have lost."""
 
 
@@ -63,14 +63,14 @@
     """
     authority.era = era
     authority.end = None
-    note_claim(authority, now, LOST)
+    note_claim(authority, now, UNKNOWN_HOLDER)
 
 
 def note_claim(authority: Authority, now: float, holder: str) -> None:
     """Take note of a claim that was read from the log."""
-    is_lost = authority.holder == LOST and _protects(authority, now)
+    is_lost = authority.holder == UNKNOWN_HOLDER and _protects(authority, now)
     # The last claim that the copy holds may be older than the one that it lost.
-    authority.holder = LOST if is_lost else holder
+    authority.holder = UNKNOWN_HOLDER if is_lost else holder
     authority.seen_at = now
 
 
@@ -85,16 +85,16 @@
 
 def _protects(authority: Authority, now: float) -> bool:
     """Whether the last claim may still be in use."""
-    return now - authority.seen_at < WAIT_SHARE * authority.lease_s
+    return now - authority.seen_at < CLAIM_WAIT_LEASES * authority.lease_s
 
 
 def may_use(authority: Authority, claim: Claim, now: float) -> bool:
     """Whether an order may still be sent under a claim."""
     if claim.era != authority.era:
         return False
-    return now - claim.sent_at < USE_SHARE * authority.lease_s
+    return now - claim.sent_at < CLAIM_USE_LEASES * authority.lease_s
 
 
-def is_first(name: str, peers: list[str]) -> bool:
+def has_lowest_name(name: str, peers: list[str]) -> bool:
     """Whether a gateway is the one that decides, among those it hears."""
     return all(name < peer for peer in peers)
--- a/src/robinspindle/core/burn.py
+++ b/src/robinspindle/core/burn.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class Subject:
+class ObjectiveKey:
     """Whose promise it is."""
 
     workspace: str
@@ -39,10 +39,10 @@
 
 
 @dataclass
-class Ledger:
+class BurnCounts:
     """Good and bad requests of one entry, by subject."""
 
-    buckets: dict[Subject, deque[Bucket]] = field(default_factory=dict)
+    buckets: dict[ObjectiveKey, deque[Bucket]] = field(default_factory=dict)
 
 
 class BurnRow(msgspec.Struct, frozen=True, kw_only=True):
@@ -76,7 +76,9 @@
         return (self.bad / total) / allowed if allowed > 0 else float("inf")
 
 
-def note_end(ledger: Ledger, subject: Subject, now: float, spender: str) -> None:
+def note_ended_request(
+    ledger: BurnCounts, subject: ObjectiveKey, now: float, spender: str
+) -> None:
     """Count one ended request; an empty spender means that it was good."""
     buckets = ledger.buckets.setdefault(subject, deque())
     begun = now - now % BUCKET_S
@@ -92,7 +94,7 @@
 
 
 def list_burn(
-    ledger: Ledger, now: float, objectives: dict[str, float]
+    ledger: BurnCounts, now: float, objectives: dict[str, float]
 ) -> list[BurnRow]:
     """List the burn of every subject over every window."""
     rows = []
--- a/src/robinspindle/core/catchup.py
+++ b/src/robinspindle/core/catchup.py
@@ -5,8 +5,8 @@
 from robinspindle.messages import Fetch, Records
 
 RECORDS_KEPT = 1024
-RECORDS_IN_A_MESSAGE = 128
-PATIENCE_S = 0.5
+RECORDS_PER_MESSAGE = 128
+FETCH_DELAY_S = 0.5
 
 
 @dataclass
@@ -22,7 +22,7 @@
 
     first: int = 0
     records: list[bytes] = field(default_factory=list)
-    asked_at: float = -PATIENCE_S
+    asked_at: float = -FETCH_DELAY_S
     behind_since: float | None = None
 
 
@@ -43,7 +43,7 @@
     start = fetch.after + 1 - window.first
     if start < 0 or start >= len(window.records):
         return None
-    records = tuple(window.records[start : start + RECORDS_IN_A_MESSAGE])
+    records = tuple(window.records[start : start + RECORDS_PER_MESSAGE])
     return Records(first=fetch.after + 1, records=records)
 
 
@@ -59,7 +59,7 @@
     if window.behind_since is None:
         window.behind_since = now
     waited = now - max(window.behind_since, window.asked_at)
-    if waited < PATIENCE_S:
+    if waited < FETCH_DELAY_S:
         return None
     window.asked_at = now
     return Fetch(after=own)
--- a/src/robinspindle/core/coordination.py
+++ b/src/robinspindle/core/coordination.py
@@ -14,7 +14,7 @@
 
 
 @dataclass
-class Duties:
+class CoordinatorState:
     """What a coordinator remembers.
 
     Attributes:
@@ -26,14 +26,14 @@
     """
 
     name: str
-    watch: roles.Watch = field(default_factory=roles.Watch)
+    watch: roles.PendingChanges = field(default_factory=roles.PendingChanges)
     covered: int = -1
     checkpointed_at: float = 0.0
     acted_at: float = -ACT_PAUSE_S
 
 
-def decide_duties(
-    duties: Duties,
+def decide_coordinator_records(
+    duties: CoordinatorState,
     state: State,
     reports: dict[str, Report],
     now: float,
@@ -63,15 +63,17 @@
     if now - duties.acted_at < ACT_PAUSE_S:
         return records
     for envelope in state.envelopes.values():
-        change = roles.decide_change(duties.watch, state, envelope, reports, now)
+        change = roles.decide_role_change(duties.watch, state, envelope, reports, now)
         if change is not None:
             duties.acted_at = now
             act_id = f"{id}/role/{change[0]}"
-            records.append(roles.make_act(state, duties.name, change, act_id, wall))
+            records.append(
+                roles.make_role_change(state, duties.name, change, act_id, wall)
+            )
     return records
 
 
-def _is_checkpoint_due(duties: Duties, state: State, now: float) -> bool:
+def _is_checkpoint_due(duties: CoordinatorState, state: State, now: float) -> bool:
     fresh = state.offset - max(duties.covered, state.checkpoint)
     if fresh >= CHECKPOINT_RECORDS:
         return True
--- a/src/robinspindle/core/documents.py
+++ b/src/robinspindle/core/documents.py
@@ -193,7 +193,7 @@
     workspaces: dict[str, WorkspaceSection] = field(default_factory=dict)
 
     @cached_property
-    def owners(self) -> dict[str, WorkspaceSection]:
+    def workspaces_by_key(self) -> dict[str, WorkspaceSection]:
         """The workspaces by the digests of their keys, made at the first look-up."""
         return {found.key_digest: found for found in self.workspaces.values()}
 
@@ -203,15 +203,15 @@
         return section.least_serving if section else 0
 
 
-SINGLE = {"fleet": FleetSection, "policy": PolicySection}
-NAMED = {
+SINGLE_SECTIONS = {"fleet": FleetSection, "policy": PolicySection}
+NAMED_SECTIONS = {
     "model": ModelSection,
     "service": ServiceSection,
     "target": TargetSection,
     "class": ClassSection,
     "workspace": WorkspaceSection,
 }
-PLURALS = {kind: f"{kind}s" for kind in NAMED} | {"class": "classes"}
+PLURALS = {kind: f"{kind}s" for kind in NAMED_SECTIONS} | {"class": "classes"}
 
 
 def parse_configuration(text: str, file: str = "configuration") -> Configuration:
@@ -228,16 +228,18 @@
         InvalidDocumentError: With every finding, when there is any.
     """
     document = IniDocument(file, text)
-    parts: dict[str, dict] = {PLURALS[kind]: {} for kind in NAMED}
+    parts: dict[str, dict] = {PLURALS[kind]: {} for kind in NAMED_SECTIONS}
     singles = {}
     for section in document.sections:
         kind, _, name = section.partition(" ")
-        if section in SINGLE:
-            singles[section] = document.build(section, SINGLE[section])
-        elif kind in NAMED and name:
-            parts[PLURALS[kind]][name] = document.build(section, NAMED[kind], name)
+        if section in SINGLE_SECTIONS:
+            singles[section] = document.build(section, SINGLE_SECTIONS[section])
+        elif kind in NAMED_SECTIONS and name:
+            parts[PLURALS[kind]][name] = document.build(
+                section, NAMED_SECTIONS[kind], name
+            )
         else:
-            known = [*SINGLE, *(f"{kind} NAME" for kind in NAMED)]
+            known = [*SINGLE_SECTIONS, *(f"{kind} NAME" for kind in NAMED_SECTIONS)]
             document.add_finding(section, "", f"unknown section; known: {known}")
     if "fleet" not in document.sections:
         document.add_finding("", "", "a section [fleet] with `name` is required")
--- a/src/robinspindle/core/host.py
+++ b/src/robinspindle/core/host.py
@@ -8,7 +8,7 @@
 
 from robinspindle.core import admission, orders, scheduling
 from robinspindle.core.effects import AppendClaim, Effect, Send
-from robinspindle.core.records import Found
+from robinspindle.core.records import ObservedEngine
 from robinspindle.core.routing import is_long
 from robinspindle.core.runs import (
     ENDED,
@@ -73,7 +73,7 @@
 
 
 def note_engine(
-    host: Host, now: float, found: Found, busy: bool, boot: str
+    host: Host, now: float, found: ObservedEngine, busy: bool, boot: str
 ) -> list[Effect]:
     """Take in the engine's answer to the question what it is.
 
@@ -96,7 +96,7 @@
 
 
 def end_order(
-    host: Host, now: float, number: int, found: Found | None, reason: str
+    host: Host, now: float, number: int, found: ObservedEngine | None, reason: str
 ) -> list[Effect]:
     """Take in how an order ended; without a reason it took effect."""
     if found is not None:
--- a/src/robinspindle/core/leases.py
+++ b/src/robinspindle/core/leases.py
@@ -11,8 +11,8 @@
 from robinspindle.core.state import Lease
 
 LEASE_S = 6.0
-RENEWALS_IN_A_LEASE = 3
-MOST_JITTER_S = 2.0
+RENEWALS_PER_LEASE = 3
+MAX_JITTER_S = 2.0
 
 
 @dataclass
@@ -61,13 +61,13 @@
     if lease is None:
         return None
     if is_holder(lease, watch.name):
-        if now - watch.sent_at < LEASE_S / RENEWALS_IN_A_LEASE:
+        if now - watch.sent_at < LEASE_S / RENEWALS_PER_LEASE:
             return None
         watch.sent_at = now
         return Renewal(id=id, holder=watch.name, fence=lease.fence)
     patience = LEASE_S if lease.holder else 0.0
     quiet = min(now - watch.changed_at, now - watch.sent_at)
-    if quiet < patience + rng.uniform(0.0, MOST_JITTER_S):
+    if quiet < patience + rng.uniform(0.0, MAX_JITTER_S):
         return None
     watch.sent_at = now
     return Takeover(id=id, holder=watch.name, after=lease.renewed)
--- a/src/robinspindle/core/orders.py
+++ b/src/robinspindle/core/orders.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from robinspindle.core.effects import AppendRecord, Effect, GiveOrder
-from robinspindle.core.records import AgentStarted, Found, OrderEnded, Step
+from robinspindle.core.records import AgentStarted, ObservedEngine, OrderEnded, Step
 from robinspindle.core.state import Target
 
 RESEND_S = 2.0
@@ -21,22 +21,22 @@
         busy: Whether the engine was in the middle of a change then.
         boot: Name of the engine's run, as last asked.
         announced: Boots of the engine that were announced in the log.
-        given: Number of the order that the engine is carrying out, -1 for none.
+        active_order: Number of the order that the engine is carrying out, -1 for none.
         ended: The outcome that is waiting to be seen in the log.
         sent_at: When a record was last appended.
-        give_after: When the engine may be tried again.
+        retry_at: When the engine may be tried again.
     """
 
     target: str
     incarnation: str
-    found: Found | None = None
+    found: ObservedEngine | None = None
     busy: bool = False
     boot: str = ""
     announced: str | None = None
-    given: int = -1
+    active_order: int = -1
     ended: OrderEnded | None = None
     sent_at: float = -RESEND_S
-    give_after: float = 0.0
+    retry_at: float = 0.0
 
 
 def decide_orders(
@@ -63,13 +63,13 @@
     if executor.ended is not None:
         return _append(executor, now, executor.ended)
     order = target.order
-    if order is None or executor.given >= 0 or executor.busy or not is_idle:
+    if order is None or executor.active_order >= 0 or executor.busy or not is_idle:
         return []
-    if now < executor.give_after:
+    if now < executor.retry_at:
         return []
     if _is_settled(order.step, executor.found, target):
         return end_order(executor, target, order.number, now, "")
-    executor.given = order.number
+    executor.active_order = order.number
     return [GiveOrder(order.number, max(order.number, target.epoch), order.step)]
 
 
@@ -77,14 +77,14 @@
     executor: Executor, target: Target, number: int, now: float, reason: str
 ) -> list[Effect]:
     """Report how an order ended; an empty reason means that it took effect."""
-    executor.given = -1
+    executor.active_order = -1
     executor.ended = OrderEnded(
         id=f"ended/{executor.incarnation}/{number}",
         target=executor.target,
         order=number,
         epoch=target.epoch,
         done=not reason,
-        found=executor.found or Found(),
+        found=executor.found or ObservedEngine(),
         reason=reason,
     )
     return _append(executor, now, executor.ended)
@@ -92,9 +92,9 @@
 
 def postpone_order(executor: Executor, now: float) -> None:
     """Try the order again later: whether it took effect is not known."""
-    executor.given = -1
+    executor.active_order = -1
     executor.found = None
-    executor.give_after = now + ORDER_RETRY_S
+    executor.retry_at = now + ORDER_RETRY_S
 
 
 def _announce(executor: Executor, now: float) -> list[Effect]:
@@ -138,7 +138,7 @@
     return target.order is None or target.order.number != ended.order
 
 
-def _is_settled(step: Step, found: Found, target: Target) -> bool:
+def _is_settled(step: Step, found: ObservedEngine, target: Target) -> bool:
     """Whether the engine already is what the order asks for."""
     if step.action in ("drain", "undrain"):
         return True
--- a/src/robinspindle/core/plans.py
+++ b/src/robinspindle/core/plans.py
@@ -21,8 +21,8 @@
 )
 from robinspindle.exceptions import Finding, IntentError
 
-ROLE_LOST_S = 4.0
-LOAD_LOST_S = 8.0
+ROLE_CHANGE_S = 4.0
+MODEL_LOAD_S = 8.0
 ROLES = ("prefill", "decode", "mixed")
 
 
@@ -123,7 +123,7 @@
     return _find_pool_shortage(state, left, target)
 
 
-def allows_act(
+def allows_role_change(
     state: State,
     envelope: Envelope,
     acts: tuple[float, ...],
@@ -221,7 +221,7 @@
                     model=intent.model,
                     adapters=intent.adapters,
                     version=intent.version,
-                    lost_s=LOAD_LOST_S,
+                    lost_s=MODEL_LOAD_S,
                 )
     elif isinstance(intent, Drain):
         for name in intent.targets:
@@ -251,4 +251,4 @@
             movable.append(target)
     missing = [role for role in ROLES for _ in range(wanted[role])]
     for target, role in zip(movable, missing, strict=False):
-        yield Step(target=target.name, action="role", role=role, lost_s=ROLE_LOST_S)
+        yield Step(target=target.name, action="role", role=role, lost_s=ROLE_CHANGE_S)
--- a/src/robinspindle/core/rebalance.py
+++ b/src/robinspindle/core/rebalancing.py
@@ -11,10 +11,10 @@
 from robinspindle.core.engines import Engine
 from robinspindle.core.targets import Target
 
-READING = "prefill"
-GENERATING = "decode"
+PREFILL_ROLE = "prefill"
+DECODE_ROLE = "decode"
 
-DEMAND_S = 3.0
+DEMAND_WINDOW_S = 3.0
 """Time over which the demand for reading is averaged, seconds: about one swing of the
 mix, so that a single swing does not look like a trend."""
 
@@ -77,7 +77,7 @@
 
 
 @dataclass
-class Demand:
+class PrefillDemand:
     """Readers' work asked of one gateway, as a decaying sum.
 
     Attributes:
@@ -90,7 +90,7 @@
 
 
 @dataclass
-class History:
+class RoleChangeHistory:
     """Changes that were made.
 
     Attributes:
@@ -103,44 +103,45 @@
 
 
 @dataclass(frozen=True)
-class Change:
+class RoleChange:
     """Engines that should take a role.
 
     Attributes:
         role: The role.
         targets: The engines.
-        makes_good: Whether it makes the loss of engines good. Those may be back soon,
-            so it says nothing of what is asked for and does not keep from turning
-            back.
+        replaces_lost: Whether it replaces lost engines. They may be back soon, so the
+            change doesn't reflect the demand and doesn't delay the reverse change.
     """
 
     role: str
     targets: tuple[Target, ...] = field(default_factory=tuple)
-    makes_good: bool = False
+    replaces_lost: bool = False
 
 
 Pair = tuple[Target, Engine]
 
 
-def note_demand(demand: Demand, now: float, seconds: float) -> None:
-    """Take note of how long a reader takes for a new prompt, served or not."""
-    demand.seconds = read_demand(demand, now) * DEMAND_S + seconds
+def note_prefill_demand(demand: PrefillDemand, now: float, seconds: float) -> None:
+    """Record how long prefill of a new prompt takes, served or not."""
+    demand.seconds = compute_prefill_load(demand, now) * DEMAND_WINDOW_S + seconds
     demand.at = now
 
 
-def read_demand(demand: Demand, now: float) -> float:
+def compute_prefill_load(demand: PrefillDemand, now: float) -> float:
     """Read the demand, readers' seconds a second."""
-    return demand.seconds * math.exp((demand.at - now) / DEMAND_S) / DEMAND_S
+    return (
+        demand.seconds * math.exp((demand.at - now) / DEMAND_WINDOW_S) / DEMAND_WINDOW_S
+    )
 
 
-def decide_change(
+def decide_role_change(
     engines: list[Pair],
     read_rate: float,
-    history: History,
+    history: RoleChangeHistory,
     now: float,
     switch_s: float,
     pressure: float = 0.0,
-) -> Change | None:
+) -> RoleChange | None:
     """Decide whether engines of one service should change their role.
 
     Args:
@@ -157,24 +158,24 @@
     readers = [pair for pair in engines if pair[1].reads_only]
     hosts = [pair for pair in engines if not pair[1].reads_only]
     if len(hosts) < LEAST_HOSTS and len(readers) > len(hosts) + 1:
-        return _turn_reader(readers, makes_good=True)
+        return _turn_reader(readers, replaces_lost=True)
     if not readers or not hosts:
         return None
     is_crowded = pressure > MOST_PRESSURE and _fill_hosts(hosts) > HOST_CROWDED
     if is_crowded and len(hosts) < _count_least_hosts(readers, hosts):
         # Engines that generate were lost, and what is left is too slow.
-        return _turn_reader(readers, makes_good=True)
+        return _turn_reader(readers, replaces_lost=True)
     aims = _find_aims(readers, hosts, read_rate)
     batch = max(1, int(len(engines) * aims.batch_share))
     lacking = _count_more_hosts(readers, hosts, read_rate)
     if lacking > 0:
         # Answers hold their slots for long: they can't wait until readers may turn.
-        return _turn_readers(readers, min(batch, lacking), makes_good=True)
+        return _turn_readers(readers, min(batch, lacking), replaces_lost=True)
     wanted = 0 if is_crowded else _count_more_readers(readers, hosts, read_rate, aims)
-    if wanted > 0 and _may_turn(history, READING, now):
+    if wanted > 0 and _may_turn(history, PREFILL_ROLE, now):
         ranked = sorted(hosts, key=lambda pair: pair[1].long_answers)
-        return Change(READING, _take(ranked, min(batch, wanted)))
-    if _needs_host(readers, hosts, read_rate) and _may_turn(history, GENERATING, now):
+        return RoleChange(PREFILL_ROLE, _take(ranked, min(batch, wanted)))
+    if _needs_host(readers, hosts, read_rate) and _may_turn(history, DECODE_ROLE, now):
         return _turn_reader(readers)
     return None
 
@@ -201,20 +202,20 @@
     return len(readers) + len(hosts) >= MANY_ENGINES
 
 
-def _may_turn(history: History, role: str, now: float) -> bool:
+def _may_turn(history: RoleChangeHistory, role: str, now: float) -> bool:
     is_same = history.last_role in ("", role)
     return is_same or now - history.changed_at >= TURN_BACK_S
 
 
-def _turn_reader(readers: list[Pair], makes_good: bool = False) -> Change:
+def _turn_reader(readers: list[Pair], replaces_lost: bool = False) -> RoleChange:
     """Have the reader with the least work generate."""
-    return _turn_readers(readers, 1, makes_good)
+    return _turn_readers(readers, 1, replaces_lost)
 
 
-def _turn_readers(readers: list[Pair], count: int, makes_good: bool) -> Change:
+def _turn_readers(readers: list[Pair], count: int, replaces_lost: bool) -> RoleChange:
     """Have the readers with the least work generate."""
     ranked = sorted(readers, key=lambda pair: pair[1].work_s)
-    return Change(GENERATING, _take(ranked, count), makes_good)
+    return RoleChange(DECODE_ROLE, _take(ranked, count), replaces_lost)
 
 
 def _take(ranked: list[Pair], count: int) -> tuple[Target, ...]:
--- a/src/robinspindle/core/records.py
+++ b/src/robinspindle/core/records.py
@@ -108,7 +108,7 @@
     lost_s: float = 0.0
 
 
-class Found(msgspec.Struct, frozen=True, kw_only=True):
+class ObservedEngine(msgspec.Struct, frozen=True, kw_only=True):
     """What an agent found its engine to be, asked after a start or an order."""
 
     role: Role = "mixed"
@@ -189,7 +189,7 @@
 
     target: str
     incarnation: str
-    found: Found
+    found: ObservedEngine
 
 
 class OrderEnded(Record, frozen=True, kw_only=True):
@@ -208,7 +208,7 @@
     order: int
     epoch: int
     done: bool
-    found: Found
+    found: ObservedEngine
     reason: str = ""
 
 
--- a/src/robinspindle/core/roles.py
+++ b/src/robinspindle/core/roles.py
@@ -6,7 +6,7 @@
 import math
 from dataclasses import dataclass, field
 
-from robinspindle.core.plans import ROLE_LOST_S
+from robinspindle.core.plans import ROLE_CHANGE_S
 from robinspindle.core.records import RoleActed
 from robinspindle.core.state import Envelope, State, Target
 from robinspindle.messages import Report
@@ -17,7 +17,7 @@
 
 
 @dataclass
-class Watch:
+class PendingChanges:
     """How long a change has been worth while, by model.
 
     Attributes:
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class Demand:
+class PoolDemand:
     """Work asked of a pool, in engines that it keeps busy.
 
     Attributes:
@@ -42,14 +42,14 @@
     decode: float
 
 
-def measure_demand(reports: list[Report]) -> Demand:
+def measure_demand(reports: list[Report]) -> PoolDemand:
     """Turn the reports of one pool into engines kept busy by each kind of work."""
     prefill = sum(report.prompt_rate * report.prefill_s for report in reports)
     decode = sum(report.token_rate * report.step_s / report.slots for report in reports)
-    return Demand(prefill, decode)
+    return PoolDemand(prefill, decode)
 
 
-def estimate_load(demand: Demand, roles: list[str]) -> float:
+def estimate_load(demand: PoolDemand, roles: list[str]) -> float:
     """Estimate how loaded the busiest part of a pool is; 1 is full."""
     mixed = roles.count("mixed")
     parts = (
@@ -66,8 +66,8 @@
     return max(loads, default=0.0)
 
 
-def decide_change(
-    watch: Watch,
+def decide_role_change(
+    watch: PendingChanges,
     state: State,
     envelope: Envelope,
     reports: dict[str, Report],
@@ -102,7 +102,7 @@
     return best
 
 
-def make_act(
+def make_role_change(
     state: State, holder: str, change: tuple[str, str], id: str, wall: float
 ) -> RoleActed:
     """Make the record of an automatic change; ``wall`` is seconds since the epoch."""
@@ -118,14 +118,14 @@
 
 
 def _find_best(
-    pool: list[Target], envelope: Envelope, demand: Demand
+    pool: list[Target], envelope: Envelope, demand: PoolDemand
 ) -> tuple[str, str] | None:
     intent = envelope.intent
     roles = {target.name: target.role for target in pool}
     now_load = estimate_load(demand, list(roles.values()))
     if now_load < BUSY_SHARE:
         return None
-    lost = ROLE_LOST_S / (PAYBACK_S * len(pool))
+    lost = ROLE_CHANGE_S / (PAYBACK_S * len(pool))
     best, best_gain = None, intent.gain + lost
     for target in sorted(pool, key=lambda target: target.name):
         for role in ("prefill", "decode"):
--- a/src/robinspindle/core/runs.py
+++ b/src/robinspindle/core/runs.py
@@ -126,7 +126,7 @@
     @property
     def may_end(self) -> bool:
         """Whether the process, asked to stop, has nothing under way any more."""
-        return self.is_stopping and self.is_idle and self.executor.given < 0
+        return self.is_stopping and self.is_idle and self.executor.active_order < 0
 
 
 def make_report(host: Host, now: float, peer: str) -> Report:
--- a/src/robinspindle/core/scaling.py
+++ b/src/robinspindle/core/scaling.py
@@ -8,7 +8,7 @@
 import math
 from dataclasses import dataclass, field
 
-FULL_SHARE = 0.6
+PLANNED_UTILIZATION = 0.6
 """Share of their slots up to which targets are meant to be used: queues grow fast
 beyond it, and a loss shifts its work to the others."""
 
@@ -52,7 +52,7 @@
 
 
 @dataclass
-class Demand:
+class ZoneDemand:
     """What is known of one service in one zone.
 
     Attributes:
@@ -68,13 +68,13 @@
     most_needed: int = 0
 
 
-def note_busy(demand: Demand, now: float, busy: float) -> None:
+def note_busy_slots(demand: ZoneDemand, now: float, busy: float) -> None:
     """Take note of the slots that requests take now, of all entries together."""
     demand.samples.append(Sample(now, busy))
     demand.samples = [s for s in demand.samples if now - s.at <= TREND_S]
 
 
-def find_needed(demand: Demand, slots: int, bounds: Bounds) -> int:
+def find_needed(demand: ZoneDemand, slots: int, bounds: Bounds) -> int:
     """Find how many targets are needed once a new one could serve.
 
     Args:
@@ -86,12 +86,12 @@
     passed_s = last.at - first.at
     rise = max(0.0, (last.busy - first.busy) / passed_s) if passed_s > 0 else 0.0
     busy = last.busy + rise * bounds.start_s
-    needed = math.ceil(busy / (slots * FULL_SHARE)) + SPARE_TARGETS
+    needed = math.ceil(busy / (slots * PLANNED_UTILIZATION)) + SPARE_TARGETS
     return min(bounds.most, max(bounds.least, needed))
 
 
 def decide_desired(
-    demand: Demand, now: float, slots: int, present: int, bounds: Bounds
+    demand: ZoneDemand, now: float, slots: int, present: int, bounds: Bounds
 ) -> int:
     """Decide how many targets there should be.
 
--- a/src/robinspindle/core/fold.py
+++ b/src/robinspindle/core/statemachine.py
@@ -16,7 +16,7 @@
     CalledOff,
     Checkpoint,
     Confirmed,
-    Found,
+    ObservedEngine,
     OrderEnded,
     Planned,
     Published,
@@ -28,7 +28,7 @@
     decode_record,
 )
 from robinspindle.core.state import (
-    ENDED,
+    FINAL_STATUSES,
     PLAN_CALLED_OFF,
     PLAN_DONE,
     PLAN_FAILED,
@@ -45,8 +45,8 @@
 )
 from robinspindle.exceptions import InvalidDocumentError, LogIncompleteError
 
-RECENT_KEPT = 2048
-PLANS_KEPT = 128
+MAX_RECENT_IDS = 2048
+MAX_PLANS = 128
 HOUR_S = 3600.0
 
 
@@ -70,7 +70,7 @@
     return _advance_plans(state, offset)
 
 
-def fold_retained(records: Iterable[tuple[int, bytes]], first: int) -> State:
+def restore_state(records: Iterable[tuple[int, bytes]], first: int) -> State:
     """Build the state of a starting process from what the log retains.
 
     Args:
@@ -107,7 +107,7 @@
 
 def _remember(state: State, id: str, offset: int) -> dict[str, int]:
     recent = {**state.recent, id: offset}
-    while len(recent) > RECENT_KEPT:
+    while len(recent) > MAX_RECENT_IDS:
         del recent[next(iter(recent))]
     return recent
 
@@ -164,7 +164,7 @@
 
 
 def _forget_old_plans(state: State) -> State:
-    if len(state.plans) <= PLANS_KEPT:
+    if len(state.plans) <= MAX_PLANS:
         return state
     idle = [plan.id for plan in state.plans.values() if plan.status != PLAN_RUNNING]
     oldest = idle[0]
@@ -200,7 +200,7 @@
 
 def _apply_called_off(state: State, offset: int, record: CalledOff) -> State:
     plan = state.plans.get(record.plan)
-    if plan is None or plan.status in ENDED:
+    if plan is None or plan.status in FINAL_STATUSES:
         return state
     reason = f"called off by {record.operator}" if record.operator else ""
     return state.with_plan(replace(plan, status=PLAN_CALLED_OFF, reason=reason))
@@ -214,7 +214,7 @@
     return state.with_target(_settle(started, record.found))
 
 
-def _settle(target: Target, found: Found) -> Target:
+def _settle(target: Target, found: ObservedEngine) -> Target:
     if not found.model:
         return target
     return replace(
@@ -263,7 +263,7 @@
     if envelope is None:
         return state
     acts = tuple(at for at in envelope.acts if at > record.at - HOUR_S)
-    if not plans.allows_act(state, envelope, acts, target, record):
+    if not plans.allows_role_change(state, envelope, acts, target, record):
         return state
     step = Step(target=target.name, action="role", role=record.role)
     state = state.with_target(
--- a/src/robinspindle/dutylog.py
+++ b/src/robinspindle/dutylog.py
@@ -54,7 +54,7 @@
 
     def note_fenced(self) -> None:
         """Take note that a higher fencing number was used: ours is not used again."""
-        claims.note_claim(self.authority, self._clock(), claims.LOST)
+        claims.note_claim(self.authority, self._clock(), claims.UNKNOWN_HOLDER)
         self.claim = None
         self.must_read = True
 
--- a/src/robinspindle/engines.py
+++ b/src/robinspindle/engines.py
@@ -5,7 +5,7 @@
 import msgspec
 import urllib3
 
-from robinspindle.core.records import Found, Step
+from robinspindle.core.records import ObservedEngine, Step
 from robinspindle.exceptions import (
     EngineUnreachableError,
     FencedError,
@@ -54,9 +54,9 @@
     busy: bool = False
     boot: str = ""
 
-    def to_found(self) -> Found:
+    def to_observed(self) -> ObservedEngine:
         """Return it as the log keeps it."""
-        return Found(
+        return ObservedEngine(
             role=self.role,
             model=self.model,
             adapters=self.adapters,
--- a/src/robinspindle/entry.py
+++ b/src/robinspindle/entry.py
@@ -13,7 +13,7 @@
 from robinspindle.controlstream import ControlStream
 from robinspindle.core import burn, catchup, dispatch, leases, limits
 from robinspindle.core.claims import apply_claims
-from robinspindle.core.coordination import Duties, decide_duties
+from robinspindle.core.coordination import CoordinatorState, decide_coordinator_records
 from robinspindle.core.documents import Configuration, WorkspaceSection
 from robinspindle.core.effects import (
     AppendClaim,
@@ -80,7 +80,7 @@
         self.incarnation = uuid.uuid4().hex[:8]
         self.stream = ControlStream()
         self.metrics = EntryMetrics()
-        self.ledger = burn.Ledger()
+        self.ledger = burn.BurnCounts()
         self.is_stopping = False
         self._rng = random.Random()
         self.dispatcher = Dispatcher(settings.name, settings.zone, self._rng)
@@ -98,7 +98,7 @@
         self._link = LogLink(settings.log, streams, post, self._rng, CLAIMS_KEPT_S)
         self._claims_are_read = False
         self._watch = leases.LeaseWatch(identity)
-        self._duties = Duties(identity)
+        self._duties = CoordinatorState(identity)
         self._serial = 0
         self._stop_asked_at = 0.0
         self._ticked_at = 0.0
@@ -170,13 +170,13 @@
             spender: Target or decision that broke the promise, empty for none, or
                 None when it counts neither way.
         """
-        subject = burn.Subject(workspace.name, workspace.work or "default")
+        subject = burn.ObjectiveKey(workspace.name, workspace.work or "default")
         with self._lock:
             self._events.pop(request, None)
             self.metrics.in_flight.set(len(self._events))
             limits.release(self._limits, workspace.name)
             if spender is not None:
-                burn.note_end(self.ledger, subject, time.monotonic(), spender)
+                burn.note_ended_request(self.ledger, subject, time.monotonic(), spender)
         self.metrics.requests.labels(subject.work, end).inc()
         if end == GONE:
             self._mailbox.post(HungUp(request))
@@ -310,7 +310,7 @@
         record = leases.decide_lease(self._watch, now, self.make_id(), self._rng)
         if record is not None:
             records.append(record)
-        records += decide_duties(
+        records += decide_coordinator_records(
             self._duties, self.state, self.reports, now, time.time(), self.make_id()
         )
         for record in records:
--- a/src/robinspindle/ordering.py
+++ b/src/robinspindle/ordering.py
@@ -7,18 +7,18 @@
 from typing import Protocol
 
 from robinspindle.calls import CallLimits, call_once
-from robinspindle.core import rebalance
+from robinspindle.core import rebalancing
 from robinspindle.core.authority import (
     Authority,
     Claim,
-    is_first,
+    has_lowest_name,
     may_claim,
     may_use,
     note_claim,
     note_era,
 )
 from robinspindle.core.eras import make_fence
-from robinspindle.core.rebalance import Change, History
+from robinspindle.core.rebalancing import RoleChange, RoleChangeHistory
 from robinspindle.core.targets import Target
 from robinspindle.exceptions import LogConflictError, LogServiceError
 from robinspindle.fleet import Fleet
@@ -112,7 +112,7 @@
         self._dialect = dialect
         self._clock = clock
         self._log = log
-        self._histories: dict[str, History] = {}
+        self._histories: dict[str, RoleChangeHistory] = {}
         self._began_at = clock()
 
     @property
@@ -152,7 +152,7 @@
             now = self._clock()
             if not self.may_change or now - self._began_at < SETTLE_S:
                 continue
-            if not is_first(self.authority.name, list_deciders(self._peers)):
+            if not has_lowest_name(self.authority.name, list_deciders(self._peers)):
                 continue
             for service in self._fleet.list_engine_services():
                 pressure = find_pressure(service, now)
@@ -164,10 +164,10 @@
         rate = own_rate + sum(
             view.read_rates.get(service, 0.0) for view in self._peers.views.values()
         )
-        history = self._histories.setdefault(service, History())
+        history = self._histories.setdefault(service, RoleChangeHistory())
         switch_s = self._fleet.find_switch_s(service)
         engines = self._fleet.list_engines(service, now)
-        change = rebalance.decide_change(
+        change = rebalancing.decide_role_change(
             engines, rate, history, now, switch_s, pressure
         )
         if change is None or not may_claim(self.authority, now):
@@ -178,7 +178,7 @@
             history.changed_at = self._clock()
             return
         history.changed_at = claim.sent_at
-        history.last_role = "" if change.makes_good else change.role
+        history.last_role = "" if change.replaces_lost else change.role
         self._log(
             "roles change",
             service=service,
@@ -211,7 +211,7 @@
         fence = make_fence(self._store.era or 0, offset)
         return Claim(fence, sent_at, era)
 
-    async def _give_all(self, change: Change, claim: Claim) -> None:
+    async def _give_all(self, change: RoleChange, claim: Claim) -> None:
         for target in change.targets:
             if not may_use(self.authority, claim, self._clock()):
                 self._log("claim is too old to be used", fence=claim.fence)
--- a/src/robinspindle/scaler.py
+++ b/src/robinspindle/scaler.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from robinspindle.core import scaling
-from robinspindle.core.scaling import Bounds, Demand
+from robinspindle.core.scaling import Bounds, ZoneDemand
 from robinspindle.core.targets import Target
 from robinspindle.dutycalls import DutyOutcome
 from robinspindle.dutylog import DutyLog
@@ -60,7 +60,7 @@
         self._peers = peers
         self._clock = clock
         self._log = log
-        self._demands: dict[tuple[str, str], Demand] = {}
+        self._demands: dict[tuple[str, str], ZoneDemand] = {}
         self._tried_at: dict[tuple[str, str], float] = {}
 
     async def look(self) -> None:
@@ -82,8 +82,8 @@
             if target.announced.service == service and not target.announced.leaving:
                 found.setdefault(target.announced.zone, []).append(target)
         for zone, targets in found.items():
-            demand = self._demands.setdefault((service, zone), Demand())
-            scaling.note_busy(demand, now, self._count_busy(targets))
+            demand = self._demands.setdefault((service, zone), ZoneDemand())
+            scaling.note_busy_slots(demand, now, self._count_busy(targets))
             slots = min(target.announced.slots for target in targets)
             desired = scaling.decide_desired(demand, now, slots, len(targets), bounds)
             in_force = len(targets) if demand.desired is None else demand.desired
@@ -107,7 +107,7 @@
         return busy
 
     async def _order(
-        self, service: str, zone: str, desired: int, demand: Demand, now: float
+        self, service: str, zone: str, desired: int, demand: ZoneDemand, now: float
     ) -> None:
         key = (service, zone)
         if now - self._tried_at.get(key, -RETRY_S) < RETRY_S:
--- a/tests/core/test_authority.py
+++ b/tests/core/test_authority.py
@@ -4,10 +4,10 @@
 from hypothesis import strategies as st
 
 from robinspindle.core.authority import (
-    WAIT_SHARE,
+    CLAIM_WAIT_LEASES,
     Authority,
     Claim,
-    is_first,
+    has_lowest_name,
     may_claim,
     may_use,
     note_claim,
@@ -27,7 +27,7 @@
     # The copy's last claim is an older one, even our own.
     note_claim(authority, 20.5, "a")
     assert not may_claim(authority, 24.0)
-    assert may_claim(authority, 20.5 + WAIT_SHARE * LEASE_S)
+    assert may_claim(authority, 20.5 + CLAIM_WAIT_LEASES * LEASE_S)
 
 
 def test_fences_rise_over_eras_though_offsets_go_back():
@@ -49,9 +49,9 @@
 
 
 def test_the_first_of_those_that_are_heard_decides():
-    assert is_first("a", ["b", "c"])
-    assert not is_first("b", ["a", "c"])
-    assert is_first("b", [])
+    assert has_lowest_name("a", ["b", "c"])
+    assert not has_lowest_name("b", ["a", "c"])
+    assert has_lowest_name("b", [])
 
 
 class Log:
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -17,9 +17,9 @@
 from robinspindle.core import dispatch, watching
 from robinspindle.core.effects import Chunk, Deliver, Ended, Refusal, Send
 from robinspindle.core.flights import Dispatcher, Promise
-from robinspindle.core.fold import apply
-from robinspindle.core.records import AgentStarted, Found, Published
+from robinspindle.core.records import AgentStarted, ObservedEngine, Published
 from robinspindle.core.state import State
+from robinspindle.core.statemachine import apply
 from robinspindle.messages import (
     Accepted,
     Finished,
@@ -40,7 +40,7 @@
     text = SAMPLE.read_text().replace("leaving_after_s = 2", "leaving_after_s = 1")
     state = apply(State(), 0, Published(id="publish", text=text))
     for number, name in enumerate(["engine-1", "engine-2"], 1):
-        found = Found(model="investor-70b")
+        found = ObservedEngine(model="investor-70b")
         started = AgentStarted(id=name, target=name, incarnation="i", found=found)
         state = apply(state, number, started)
     entry = Dispatcher("entry-1", "a", random.Random(1))
--- a/tests/core/test_host.py
+++ b/tests/core/test_host.py
@@ -6,10 +6,10 @@
 
 from robinspindle.core import host
 from robinspindle.core.effects import Launch, Send
-from robinspindle.core.fold import apply
-from robinspindle.core.records import AgentStarted, Found, Published
+from robinspindle.core.records import AgentStarted, ObservedEngine, Published
 from robinspindle.core.runs import Host
 from robinspindle.core.state import State
+from robinspindle.core.statemachine import apply
 from robinspindle.messages import (
     Accepted,
     Attach,
@@ -29,7 +29,7 @@
 @pytest.fixture
 def agent():
     text = (SAMPLES / "haddad.ini").read_text()
-    found = Found(model=MODEL)
+    found = ObservedEngine(model=MODEL)
     state = apply(State(), 0, Published(id="p", text=text))
     started = AgentStarted(id="s", target="engine-1", incarnation="i1", found=found)
     state = apply(state, 1, started)
--- a/tests/core/test_placing.py
+++ b/tests/core/test_placing.py
@@ -2,10 +2,10 @@
 from pathlib import Path
 
 from robinspindle.core.flights import Dispatcher, Flight
-from robinspindle.core.fold import apply
 from robinspindle.core.placing import find_addresses, list_peers
 from robinspindle.core.records import Published
 from robinspindle.core.state import State
+from robinspindle.core.statemachine import apply
 from robinspindle.messages import Work
 
 SAMPLE = Path(__file__).parents[2] / "examples" / "haddad.ini"
--- a/tests/core/test_plans.py
+++ b/tests/core/test_plans.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from robinspindle.core.fold import apply
 from robinspindle.core.plans import make_plan
 from robinspindle.core.records import (
     CalledOff,
@@ -18,6 +17,7 @@
     Step,
 )
 from robinspindle.core.state import State
+from robinspindle.core.statemachine import apply
 from robinspindle.exceptions import IntentError
 
 SAMPLES = Path(__file__).parents[2] / "examples"
--- a/tests/core/test_rolesplay.py
+++ b/tests/core/test_rolesplay.py
@@ -9,9 +9,14 @@
 
 import pytest
 
-from robinspindle.core import rebalance
+from robinspindle.core import rebalancing
 from robinspindle.core.engines import make_engine
-from robinspindle.core.rebalance import Demand, History, decide_change, note_demand
+from robinspindle.core.rebalancing import (
+    PrefillDemand,
+    RoleChangeHistory,
+    decide_role_change,
+    note_prefill_demand,
+)
 from robinspindle.core.targets import Announcement, Target
 
 STEP_S = 0.05
@@ -74,7 +79,7 @@
         found a slot.
     """
     fleet = Fleet([make_pair(n, n < readers) for n in range(engines)])
-    demand, history, now = Demand(), History(), 0.0
+    demand, history, now = PrefillDemand(), RoleChangeHistory(), 0.0
     while now < for_s:
         now += STEP_S
         here = [c for c in crowds if c.from_s <= now < c.to_s]
@@ -84,7 +89,7 @@
             taken = fleet.list_present(False)[:4]
             fleet.lost = {target.announced.lifetime for target, _ in taken}
         fleet.away = {name: at for name, at in fleet.away.items() if at > now}
-        note_demand(demand, now, read_rate * STEP_S)
+        note_prefill_demand(demand, now, read_rate * STEP_S)
         read(fleet, read_rate)
         answer(fleet, answer_rate, now)
         if round(now / STEP_S) % round(LOOK_S / STEP_S) == 0:
@@ -93,7 +98,7 @@
 
 
 def make_pair(number, reads):
-    role = rebalance.READING if reads else rebalance.GENERATING
+    role = rebalancing.PREFILL_ROLE if reads else rebalancing.DECODE_ROLE
     announced = Announcement(f"i{number}", "s", "x:1", "a", SLOTS, role=role)
     return Target(announced), make_engine(reads, 1000)
 
@@ -124,17 +129,17 @@
 
 def change_roles(fleet, demand, history, now):
     present = fleet.list_present(True) + fleet.list_present(False)
-    rate = rebalance.read_demand(demand, now)
-    change = decide_change(present, rate, history, now, SWITCH_S)
+    rate = rebalancing.compute_prefill_load(demand, now)
+    change = decide_role_change(present, rate, history, now, SWITCH_S)
     if change is None:
         return
     history.changed_at = now
-    history.last_role = "" if change.makes_good else change.role
+    history.last_role = "" if change.replaces_lost else change.role
     engines = {target.announced.lifetime: engine for target, engine in fleet.pairs}
     for target in change.targets:
         lifetime = target.announced.lifetime
         fleet.away[lifetime] = now + SWITCH_S
-        engines[lifetime].reads_only = change.role == rebalance.READING
+        engines[lifetime].reads_only = change.role == rebalancing.PREFILL_ROLE
         engines[lifetime].own_long = 0
 
 
@@ -144,8 +149,8 @@
 
 def never_prepare(monkeypatch):
     """Change roles once a crowd has come alone, few at a time."""
-    monkeypatch.setattr(rebalance, "_find_aims", lambda *_: rebalance._Aims())
-    monkeypatch.setattr(rebalance, "_count_more_hosts", lambda *_: 0)
+    monkeypatch.setattr(rebalancing, "_find_aims", lambda *_: rebalancing._Aims())
+    monkeypatch.setattr(rebalancing, "_count_more_hosts", lambda *_: 0)
 
 
 def test_engines_that_were_prepared_read_a_crowd_of_prompts_in_time():
@@ -180,5 +185,5 @@
 @pytest.mark.parametrize("engines", [6, 9])
 def test_few_engines_keep_half_for_generating(engines):
     pairs = [make_pair(number, number < 2) for number in range(engines)]
-    change = decide_change(pairs, 99.0, History(), 100.0, SWITCH_S)
+    change = decide_role_change(pairs, 99.0, RoleChangeHistory(), 100.0, SWITCH_S)
     assert engines - 2 - len(change.targets) >= engines / 2
--- a/tests/core/test_scaling.py
+++ b/tests/core/test_scaling.py
@@ -5,12 +5,12 @@
 import pytest
 
 from robinspindle.core.scaling import (
-    FULL_SHARE,
+    PLANNED_UTILIZATION,
     Bounds,
-    Demand,
+    ZoneDemand,
     decide_desired,
     find_needed,
-    note_busy,
+    note_busy_slots,
 )
 
 BOUNDS = Bounds(2, 12, 4.0)
@@ -25,7 +25,7 @@
         self.bounds, self.loss, self.late_s = bounds, loss, late_s
         self.rng = random.Random(seed)
         self.now, self.present = 0.0, bounds.least
-        self.demand = Demand()
+        self.demand = ZoneDemand()
         self.orders, self.coming = [], []
         self.overrun_s = 0.0
 
@@ -36,7 +36,7 @@
             busy = find_busy(self.now)
             if busy > self.present * SLOTS:
                 self.overrun_s += STEP_S
-            note_busy(self.demand, self.now, busy)
+            note_busy_slots(self.demand, self.now, busy)
             wanted = decide_desired(
                 self.demand, self.now, SLOTS, self.present, self.bounds
             )
@@ -62,7 +62,7 @@
     play = Play()
     play.run(60, lambda now: min(60.0, now * 2))
     assert play.overrun_s == 0.0
-    assert play.present * SLOTS * FULL_SHARE >= 60.0
+    assert play.present * SLOTS * PLANNED_UTILIZATION >= 60.0
 
 
 def test_a_jump_is_met_at_the_first_look():
@@ -96,14 +96,14 @@
 def test_lost_and_late_orders_end_where_they_should(loss, late_s):
     play = Play(loss=loss, late_s=late_s)
     play.run(120, lambda now: 60.0)
-    assert play.present * SLOTS * FULL_SHARE >= 60.0
+    assert play.present * SLOTS * PLANNED_UTILIZATION >= 60.0
 
 
 def test_what_is_left_bears_the_loss_of_one():
-    demand = Demand()
-    note_busy(demand, 0.0, 30.0)
+    demand = ZoneDemand()
+    note_busy_slots(demand, 0.0, 30.0)
     needed = find_needed(demand, SLOTS, BOUNDS)
-    assert (needed - 1) * SLOTS * FULL_SHARE >= 30.0
+    assert (needed - 1) * SLOTS * PLANNED_UTILIZATION >= 30.0
 
 
 def test_bounds_hold_whatever_is_asked():
--- a/tests/core/test_small.py
+++ b/tests/core/test_small.py
@@ -95,10 +95,12 @@
 
 
 def test_a_burn_rate_of_one_spends_the_allowance_exactly():
-    ledger = burn.Ledger()
-    subject = burn.Subject("w", "chat")
+    ledger = burn.BurnCounts()
+    subject = burn.ObjectiveKey("w", "chat")
     for number in range(100):
-        burn.note_end(ledger, subject, 30.0, "target t1" if number == 0 else "")
+        burn.note_ended_request(
+            ledger, subject, 30.0, "target t1" if number == 0 else ""
+        )
     rows = burn.list_burn(ledger, 31.0, {"chat": 0.99})
     assert [round(row.rate, 6) for row in rows] == [1.0, 1.0, 1.0]
     merged = burn.merge_burn(rows + rows)
@@ -121,14 +123,14 @@
     state = State(targets=targets)
     intent = Standing(model="m", most_prefill=2, gain=0.1)
     named = dict.fromkeys(targets, reports)
-    return roles.decide_change(watch, state, Envelope(intent, "p"), named, now)
+    return roles.decide_role_change(watch, state, Envelope(intent, "p"), named, now)
 
 
 def test_roles_change_only_for_a_gain_that_lasts():
     pace = {"target": "", "incarnation": "", "prefill_s": 0.0001, "step_s": 0.016}
     idle = Report(slots=8, **pace)
     busy = Report(slots=8, prompt_rate=5000.0, token_rate=100.0, **pace)
-    watch = roles.Watch()
+    watch = roles.PendingChanges()
     assert decide(idle, 0.0, watch) is None
     # Four times half an engine of prompts on one prefill target: twice too much.
     assert decide(busy, 1.0, watch) is None
--- a/tests/core/test_fold.py
+++ b/tests/core/test_statemachine.py
@@ -2,9 +2,9 @@
 
 from pathlib import Path
 
-from robinspindle.core.fold import apply
 from robinspindle.core.records import Published
 from robinspindle.core.state import State
+from robinspindle.core.statemachine import apply
 
 SAMPLES = Path(__file__).parents[2] / "examples"
 
--- a/tests/platform/test_ordering.py
+++ b/tests/platform/test_ordering.py
@@ -3,7 +3,7 @@
 import json
 import math
 
-from robinspindle.core.rebalance import Demand
+from robinspindle.core.rebalancing import PrefillDemand
 from robinspindle.core.relays import Member
 from robinspindle.core.sharing import PeerView
 from robinspindle.peers import Peers, list_deciders
@@ -12,7 +12,7 @@
 
 async def press(d):
     """Have the gateway asked for far more reading than its readers can do."""
-    demand = Demand(seconds=1e4, at=d.gateway.orderer.now)
+    demand = PrefillDemand(seconds=1e4, at=d.gateway.orderer.now)
     d.gateway.relay.chooser.demands["lm"] = demand
 
 
