--- a/src/robinspindle/core/plans.py
+++ b/src/robinspindle/core/plans.py
@@ -1,4 +1,4 @@
-"""Plans: made from an intent, judged at the confirmation and before each step."""
+"""Plans: made from an intent, validated at the confirmation and before each step."""
 
 from robinspindle.core.records import (
     AnyIntent,
@@ -22,26 +22,31 @@
 from robinspindle.exceptions import Finding, IntentError
 
 ROLE_CHANGE_S = 4.0
+"""Expected time for which a role change takes a target out of service, seconds."""
+
 MODEL_LOAD_S = 8.0
+"""Expected time for which loading a model takes a target out of service, seconds."""
+
 ROLES = ("prefill", "decode", "mixed")
 
 
 def make_plan(state: State, intent: AnyIntent, id: str, operator: str) -> Planned:
-    """Make a plan for an intent from the state as folded so far.
+    """Make a plan for an intent from the current replicated state.
 
     Args:
-        state: The folded state.
+        state: The replicated state.
         intent: What the operator wants.
         id: Id of the new plan.
-        operator: Who asks.
+        operator: The operator that requests the plan.
 
     Returns:
-        The record to append; nothing happens before its confirmation.
+        The record to append. The plan has no effect before it is confirmed.
 
     Raises:
-        IntentError: If the intent names what does not exist or can't be met.
+        IntentError: If the intent names a model or target that is not configured, or
+            cannot be satisfied.
     """
-    texts = list(_find_faults(state, intent))
+    texts = list(_find_problems(state, intent))
     if texts:
         raise IntentError([Finding("intent", "", "", 0, text) for text in texts])
     steps = tuple(_make_steps(state, intent))
@@ -51,10 +56,10 @@
 
 
 def find_refusal(state: State, plan: Plan) -> str:
-    """Say why a plan may not be confirmed now, or return an empty string."""
-    faults = list(_find_faults(state, plan.intent))
-    if faults:
-        return faults[0]
+    """Return why a plan may not be confirmed now, or an empty string if it may."""
+    problems = list(_find_problems(state, plan.intent))
+    if problems:
+        return problems[0]
     for step in plan.steps:
         target = state.targets.get(step.target)
         if target is None:
@@ -69,19 +74,26 @@
 
 
 def find_shortage(state: State, plan: Plan) -> str:
-    """Say which pool would fall below its least number of targets.
+    """Return which pool would fall below its minimum number of targets.
+
+    The check includes the remaining steps of all running plans. Otherwise a plan could
+    be confirmed whose steps then wait forever.
 
-    The plan is judged together with all that running plans have yet to do: else a
-    plan could be confirmed whose steps then wait for ever.
+    Returns:
+        The reason to refuse the plan, or an empty string.
     """
-    steps = [step for other in _list_running(state) for step in _list_open(other)]
-    # An order in force goes on though its plan was called off.
+    steps = [
+        step
+        for other in _list_running_plans(state)
+        for step in _list_remaining_steps(other)
+    ]
+    # An issued order is still executed after its plan was called off.
     steps += [t.order.step for t in state.targets.values() if t.order is not None]
     steps += plan.steps
     left = {name: t for name, t in state.targets.items() if not t.drained}
     for step in steps:
         target = state.targets.get(step.target)
-        if target is not None and _takes_away(step, target):
+        if target is not None and _removes_target(step, target):
             left.pop(step.target, None)
     for step in steps:
         target = state.targets.get(step.target)
@@ -93,23 +105,23 @@
     return ""
 
 
-def _list_running(state: State) -> list[Plan]:
+def _list_running_plans(state: State) -> list[Plan]:
     return [plan for plan in state.plans.values() if plan.status == PLAN_RUNNING]
 
 
-def _list_open(plan: Plan) -> tuple[Step, ...]:
+def _list_remaining_steps(plan: Plan) -> tuple[Step, ...]:
     return plan.steps[plan.step :]
 
 
-def _takes_away(step: Step, target: Target) -> bool:
-    """Whether a step leaves its target's pool with one target less for good."""
+def _removes_target(step: Step, target: Target) -> bool:
+    """Whether a step permanently removes its target from the target's pool."""
     if step.action == "drain":
         return True
     return step.action == "load" and step.model != target.pool
 
 
 def find_step_obstacle(state: State, step: Step) -> str:
-    """Say why a step may not begin now, or return an empty string."""
+    """Return why a step may not begin now, or an empty string if it may."""
     if step.action == "undrain":
         return ""
     pool = state.targets[step.target].pool
@@ -126,17 +138,25 @@
 def allows_role_change(
     state: State,
     envelope: Envelope,
-    acts: tuple[float, ...],
+    change_times: tuple[float, ...],
     target: Target,
     record: RoleActed,
 ) -> bool:
-    """Whether an automatic role change stays inside its standing intent."""
+    """Whether an automatic role change is within the bounds of its standing intent.
+
+    Args:
+        state: The replicated state.
+        envelope: The standing intent in effect for the target's model.
+        change_times: Times of the automatic changes in the last hour.
+        target: The target whose role changes.
+        record: The requested change.
+    """
     intent = envelope.intent
     if target.order is not None or target.drained or target.role == record.role:
         return False
-    if len(acts) >= intent.changes_per_hour:
+    if len(change_times) >= intent.changes_per_hour:
         return False
-    if acts and record.at - acts[-1] < intent.cooldown_s:
+    if change_times and record.at - change_times[-1] < intent.cooldown_s:
         return False
     if _is_planned(state, target.name, ""):
         return False
@@ -151,21 +171,27 @@
 
 
 def can_serve(roles: list[str]) -> bool:
-    """Whether targets in these roles can serve a request from prompt to answer."""
+    """Whether targets in these roles can run both prefill and decode of a request."""
     return "mixed" in roles or ("prefill" in roles and "decode" in roles)
 
 
-def _is_planned(state: State, target: str, but: str) -> bool:
+def _is_planned(state: State, target: str, except_plan: str) -> bool:
     return any(
         step.target == target
-        for plan in _list_running(state)
-        if plan.id != but
-        for step in _list_open(plan)
+        for plan in _list_running_plans(state)
+        if plan.id != except_plan
+        for step in _list_remaining_steps(plan)
     )
 
 
 def _find_pool_shortage(state: State, left: dict[str, Target], leaving: Target) -> str:
-    """Say whether a pool has too few targets while one of them is away."""
+    """Return why a pool has too few targets without ``leaving``, or an empty string.
+
+    Args:
+        state: The replicated state.
+        left: The targets that remain in service, by name.
+        leaving: The target that is out of service meanwhile.
+    """
     configuration = read_configuration(state)
     pool = leaving.pool
     others = sum(1 for t in left.values() if t.pool == pool and t.name != leaving.name)
@@ -175,7 +201,7 @@
     return ""
 
 
-def _find_faults(state: State, intent: AnyIntent):
+def _find_problems(state: State, intent: AnyIntent):
     configuration = read_configuration(state)
     if configuration is None:
         yield "no configuration is in force yet"
@@ -192,12 +218,12 @@
         elif isinstance(intent, ServeModel) and configuration.targets[name].service:
             yield f"target {name} is a plain service and loads no model"
     if isinstance(intent, SetRoles):
-        yield from _find_role_faults(state, intent)
+        yield from _find_role_problems(state, intent)
     if isinstance(intent, Standing) and intent.least_prefill > intent.most_prefill:
         yield "least_prefill is greater than most_prefill"
 
 
-def _find_role_faults(state: State, intent: SetRoles):
+def _find_role_problems(state: State, intent: SetRoles):
     wanted = intent.prefill + intent.decode + intent.mixed
     pool = [t for t in state.targets.values() if t.pool == intent.model]
     if min(intent.prefill, intent.decode, intent.mixed) < 0:
@@ -239,7 +265,7 @@
 
 
 def _make_role_steps(state: State, intent: SetRoles):
-    """Keep every target whose role is still wanted; change the fewest."""
+    """Make the fewest role changes: a target whose role is still wanted keeps it."""
     wanted = {role: getattr(intent, role) for role in ROLES}
     movable = []
     for target in sorted(state.targets.values(), key=lambda target: target.name):
--- a/src/robinspindle/core/records.py
+++ b/src/robinspindle/core/records.py
@@ -1,7 +1,8 @@
-"""Records of the control stream: everything that must be agreed or kept.
+"""Records of the control stream, the log that all processes replicate.
 
-Each record carries an id of its own, so that an append whose answer was lost can
-be sent again: the fold drops repeats. Codec: msgspec, MessagePack.
+Each record carries a unique id, so that a writer can retry an append whose answer was
+lost: the replicated state machine drops duplicates. Records are encoded as MessagePack
+with msgspec.
 """
 
 from typing import Literal
@@ -13,7 +14,7 @@
 
 
 class Record(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Root of all records.
+    """Base class of all records.
 
     Attributes:
         id: Unique id of the record, chosen by the writer.
@@ -23,17 +24,17 @@
 
 
 class Intent(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Root of all intents: what an operator wants to be true."""
+    """Base class of all intents: the state that an operator wants."""
 
 
 class SetRoles(Intent, frozen=True, kw_only=True):
-    """Have so many targets of a model in each role.
+    """Set how many targets of a model have each role.
 
     Attributes:
-        model: The model whose targets are meant.
-        prefill: Targets that only read prompts.
-        decode: Targets that only generate.
-        mixed: Targets that do both.
+        model: The model whose targets change role.
+        prefill: Number of targets that run only prefill.
+        decode: Number of targets that run only decode.
+        mixed: Number of targets that run both.
     """
 
     model: str
@@ -43,7 +44,7 @@
 
 
 class ServeModel(Intent, frozen=True, kw_only=True):
-    """Have named targets serve a model with these adapters and version."""
+    """Load a model on named targets, with these adapters and this version."""
 
     model: str
     targets: tuple[str, ...]
@@ -52,7 +53,7 @@
 
 
 class Drain(Intent, frozen=True, kw_only=True):
-    """Take named targets out of service, each after its last request."""
+    """Take named targets out of service, each after its last request has ended."""
 
     targets: tuple[str, ...]
 
@@ -64,15 +65,16 @@
 
 
 class Standing(Intent, frozen=True, kw_only=True):
-    """Let the policy change roles of a model inside an envelope.
+    """A standing intent: pre-approved bounds for automatic role changes of a model.
 
     Attributes:
         model: The model whose targets may change role.
-        least_prefill: Fewest targets in the prefill role.
-        most_prefill: Most targets in the prefill role; 0 ends the standing intent.
-        changes_per_hour: Most automatic changes in any hour.
-        cooldown_s: Seconds between two automatic changes.
-        gain: Least gain in served work, as a share, that pays for one change.
+        least_prefill: Minimum number of targets in the prefill role.
+        most_prefill: Maximum number of targets in the prefill role; 0 ends the
+            standing intent.
+        changes_per_hour: Maximum number of automatic role changes in any hour.
+        cooldown_s: Minimum time between two automatic role changes, seconds.
+        gain: Minimum relative reduction of the load that justifies a role change.
     """
 
     model: str
@@ -87,16 +89,16 @@
 
 
 class Step(msgspec.Struct, frozen=True, kw_only=True):
-    """One order of a plan.
+    """One step of a plan, executed as an order to one target.
 
     Attributes:
-        target: The target it goes to.
-        action: What the target's agent is to do.
-        role: The role to take, for the action ``role``.
+        target: The target that executes the step.
+        action: What the target's agent does.
+        role: The new role, for the action ``role``.
         model: The model to load, for the action ``load``.
-        adapters: Adapters to load with it.
-        version: Version to load, empty for the current one.
-        lost_s: Expected seconds for which the target's capacity is lost.
+        adapters: Adapters to load with the model.
+        version: Version of the model to load, empty for the current one.
+        lost_s: Expected time for which the target's capacity is lost, seconds.
     """
 
     target: str
@@ -109,7 +111,14 @@
 
 
 class ObservedEngine(msgspec.Struct, frozen=True, kw_only=True):
-    """What an agent found its engine to be, asked after a start or an order."""
+    """The state of an engine, as its agent reads it after a start or an order.
+
+    Attributes:
+        role: The engine's role.
+        model: The loaded model, empty for a plain service or when unknown.
+        adapters: The loaded adapters.
+        version: Version of the loaded model.
+    """
 
     role: Role = "mixed"
     model: str = ""
@@ -125,11 +134,12 @@
 
 
 class Takeover(Record, frozen=True, kw_only=True):
-    """A process asks for the coordinator lease.
+    """A process requests the coordinator lease.
 
     Attributes:
-        holder: The process that asks.
-        after: Offset of the last renewal that it saw, -1 for none.
+        holder: The process that requests it.
+        after: Offset of the last renewal or takeover that the process has applied, -1
+            for none.
     """
 
     holder: str
@@ -137,11 +147,11 @@
 
 
 class Renewal(Record, frozen=True, kw_only=True):
-    """The holder keeps the lease.
+    """The holder of the coordinator lease renews it.
 
     Attributes:
-        holder: The process that holds it.
-        fence: The fencing number it was given.
+        holder: The process that holds the lease.
+        fence: The fencing token of its takeover.
     """
 
     holder: str
@@ -149,13 +159,13 @@
 
 
 class Planned(Record, frozen=True, kw_only=True):
-    """A plan made for an intent; nothing happens until it is confirmed.
+    """A plan that was made for an intent. It has no effect until it is confirmed.
 
     Attributes:
         intent: What the operator wants.
         base: Offset of the state that the plan was made from.
-        steps: Orders, in their order.
-        operator: Who asked.
+        steps: The steps, in the order of their execution.
+        operator: The operator that requested the plan.
     """
 
     intent: AnyIntent
@@ -165,26 +175,26 @@
 
 
 class Confirmed(Record, frozen=True, kw_only=True):
-    """An operator confirmed a plan, named by its record id."""
+    """An operator confirmed a plan, identified by the id of its record."""
 
     plan: str
     operator: str = ""
 
 
 class CalledOff(Record, frozen=True, kw_only=True):
-    """An operator called off the steps of a plan that have not begun."""
+    """An operator cancelled the steps of a plan that have not begun."""
 
     plan: str
     operator: str = ""
 
 
 class AgentStarted(Record, frozen=True, kw_only=True):
-    """An agent took charge of its target; the record's offset is its epoch.
+    """An agent started or announced its engine; the record's offset is its epoch.
 
     Attributes:
-        target: The target.
+        target: The agent's target.
         incarnation: Unique name of this run of the agent.
-        found: The engine's state as the agent found it.
+        found: The engine's state at that time.
     """
 
     target: str
@@ -193,15 +203,15 @@
 
 
 class OrderEnded(Record, frozen=True, kw_only=True):
-    """An agent carried out an order, or could not.
+    """The outcome of an order, reported by the target's agent.
 
     Attributes:
         target: The target.
         order: The order's number.
         epoch: The agent's epoch.
-        done: Whether it took effect.
-        found: The engine's state afterwards.
-        reason: Why not, when it did not.
+        done: Whether the order took effect.
+        found: The engine's state after the order.
+        reason: Why the order had no effect, empty if it took effect.
     """
 
     target: str
@@ -213,14 +223,14 @@
 
 
 class RoleActed(Record, frozen=True, kw_only=True):
-    """The coordinator changes a role inside a confirmed standing intent.
+    """The coordinator changes a role within a confirmed standing intent.
 
     Attributes:
         holder: The coordinator.
-        fence: Its fencing number.
+        fence: The coordinator's fencing token.
         target: The target whose role changes.
         role: The new role.
-        at: Wall-clock time at the coordinator, seconds since the epoch.
+        at: Wall-clock time at the coordinator, seconds since the Unix epoch.
     """
 
     holder: str
@@ -231,10 +241,10 @@
 
 
 class Checkpoint(Record, frozen=True, kw_only=True):
-    """The folded state, so that older records may be trimmed.
+    """The replicated state, recorded so that older records may be trimmed.
 
     Attributes:
-        covers: Offset of the last record the state includes.
+        covers: Offset of the last record that the state includes.
         state: The encoded state.
     """
 
@@ -264,10 +274,10 @@
 
 
 def decode_record(data: bytes) -> AnyRecord | None:
-    """Decode a record, or return None for bytes that are none.
+    """Decode a record, or return None for bytes that are not a valid record.
 
-    A record that cannot be read must not stop the fold: every process skips it
-    alike.
+    A record that cannot be decoded must not stop the replicated state machine, so every
+    process skips it in the same way.
     """
     try:
         return _DECODER.decode(data)
--- a/src/robinspindle/core/state.py
+++ b/src/robinspindle/core/state.py
@@ -1,4 +1,4 @@
-"""The folded state: what every process knows after reading the same records."""
+"""The replicated state: what every process knows after applying the same records."""
 
 from dataclasses import dataclass, field, replace
 
@@ -21,8 +21,8 @@
     """The coordinator lease.
 
     Attributes:
-        holder: The process that holds it, empty for none.
-        fence: Offset of the takeover that gave it, the fencing number.
+        holder: The process that holds the lease, empty for none.
+        fence: Offset of the takeover that granted it, used as the fencing token.
         renewed: Offset of the last renewal or takeover.
     """
 
@@ -33,12 +33,12 @@
 
 @dataclass(frozen=True)
 class Order:
-    """An order in force for one target.
+    """An order that was issued to one target and has not ended.
 
     Attributes:
-        number: Offset of the record that put it in force, its fencing number.
-        plan: The plan it belongs to, empty for an automatic change.
-        step: What to do.
+        number: Offset of the record that issued the order, used as its fencing token.
+        plan: Id of the plan that it belongs to, empty for an automatic role change.
+        step: The step to execute.
     """
 
     number: int
@@ -48,19 +48,19 @@
 
 @dataclass(frozen=True)
 class Target:
-    """What the log says of one target.
+    """The state of one target according to the log.
 
     Attributes:
         name: The target's name.
-        pool: The model or service that it serves.
-        role: An engine's role.
-        adapters: Adapters that an engine has loaded.
-        version: Version of the model, empty for the engine's own.
-        drained: Whether a plan took it out of service.
-        touched: Offset of the last confirmed change of it.
-        epoch: Offset of its agent's start, -1 before the first.
-        incarnation: Name of that run of the agent.
-        order: The order in force, if any.
+        pool: Name of the model or service that it serves.
+        role: The engine's role.
+        adapters: Adapters that the engine has loaded.
+        version: Version of the model, empty for the engine's default.
+        drained: Whether a plan took the target out of service.
+        touched: Offset of the last confirmed change to the target.
+        epoch: Offset of the last start of its agent, -1 before the first.
+        incarnation: Unique name of that run of the agent.
+        order: The order that was issued and has not ended, None if there is none.
     """
 
     name: str
@@ -76,28 +76,28 @@
 
     @property
     def serving(self) -> bool:
-        """Whether the log lets it take new work."""
+        """Whether the target may take new requests according to the log."""
         return not self.drained and not self.is_leaving
 
     @property
     def is_leaving(self) -> bool:
-        """Whether an order in force takes it out of service."""
+        """Whether an issued order takes the target out of service."""
         return self.order is not None and self.order.step.action != "undrain"
 
 
 @dataclass(frozen=True)
 class Plan:
-    """A plan and how far it has come.
+    """A plan and its progress.
 
     Attributes:
         id: The plan's id.
         intent: What the operator wants.
-        base: Offset of the state it was made from.
-        steps: Its orders.
-        operator: Who asked for it.
+        base: Offset of the state that the plan was made from.
+        steps: The plan's steps, executed in this order.
+        operator: The operator that requested the plan.
         status: One of the ``PLAN_`` constants.
-        reason: Why it was refused or failed.
-        step: Index of the next step, or of the one in force.
+        reason: Why the plan was refused, failed or was called off.
+        step: Index of the step that is being executed or comes next.
     """
 
     id: str
@@ -112,12 +112,13 @@
 
 @dataclass(frozen=True)
 class Envelope:
-    """A confirmed standing intent and what was done under it.
+    """A standing intent in effect and the automatic role changes made under it.
 
     Attributes:
-        intent: The bounds.
-        plan: The plan that confirmed it.
-        acts: Times of the automatic changes in the last hour.
+        intent: The bounds for automatic role changes.
+        plan: Id of the confirmed plan that put the intent into effect.
+        acts: Times of the automatic role changes in the last hour, seconds since the
+            Unix epoch.
     """
 
     intent: Standing
@@ -127,19 +128,21 @@
 
 @dataclass(frozen=True)
 class State:
-    """Everything that is agreed.
+    """The replicated state of the deployment.
 
     Attributes:
-        offset: Offset of the last record folded, -1 for none.
-        text: The configuration document in force.
-        version: Its offset, -1 for none.
-        rejected: Findings of the last document that was not accepted.
+        offset: Offset of the last record applied, -1 for none.
+        text: The configuration document in effect.
+        version: Offset of that document's record, -1 for none.
+        rejected: Findings of the last document, empty if it was accepted.
         lease: The coordinator lease.
         targets: Targets by name.
         plans: Plans by id, oldest first.
-        envelopes: Standing intents by model.
-        recent: Ids of recent records, oldest first, to drop repeats.
-        checkpoint: What the last checkpoint record covers.
+        envelopes: Standing intents in effect, by model.
+        recent: Offsets of recent records by record id, oldest first, to detect
+            duplicates.
+        checkpoint: Offset of the last record that the newest checkpoint covers, -1
+            for none.
     """
 
     offset: int = -1
@@ -176,9 +179,10 @@
 
 
 def read_configuration(state: State) -> Configuration | None:
-    """Return the configuration in force, or None before the first.
+    """Return the configuration in effect, or None before the first one.
 
-    The parsed document is kept for the last text, since it is asked for often.
+    The parsed configuration of the last document is cached, because callers need it
+    often.
     """
     if state.version < 0:
         return None
--- a/src/robinspindle/core/statemachine.py
+++ b/src/robinspindle/core/statemachine.py
@@ -1,8 +1,8 @@
-"""The fold: ``apply(state, offset, record) -> state``, the only judge of validity.
+"""The replicated state machine: ``apply(state, offset, record) -> state``.
 
-Pure and without a clock, so that every process that reads the same records reaches
-the same verdict with no message between them. A record that is not valid changes
-nothing but the offset.
+``apply`` alone decides which records of the control stream are valid. It is pure and
+reads no clock, so all processes that read the same records reach the same state
+without exchanging messages. An invalid record changes nothing but the offset.
 """
 
 from collections.abc import Callable, Iterable
@@ -51,37 +51,40 @@
 
 
 def apply(state: State, offset: int, record: AnyRecord | None) -> State:
-    """Fold one record.
+    """Apply one record to the replicated state.
 
     Args:
-        state: The state before it.
+        state: The state before the record.
         offset: The record's offset.
-        record: The record, or None for bytes that cannot be read.
+        record: The record, or None for bytes that cannot be decoded.
 
     Returns:
-        The state after it; a record at or before ``state.offset`` changes nothing.
+        The state after the record. A record at or before ``state.offset`` changes
+        nothing.
     """
     if offset <= state.offset:
         return state
     if record is None or record.id in state.recent:
         return replace(state, offset=offset)
-    state = replace(state, offset=offset, recent=_remember(state, record.id, offset))
+    state = replace(
+        state, offset=offset, recent=_add_recent_id(state, record.id, offset)
+    )
     state = _HANDLERS[type(record)](state, offset, record)
     return _advance_plans(state, offset)
 
 
 def restore_state(records: Iterable[tuple[int, bytes]], first: int) -> State:
-    """Build the state of a starting process from what the log retains.
+    """Build the state of a starting process from the records that the log retains.
 
     Args:
-        records: Offsets and bytes of all retained records, in order.
+        records: Offsets and bytes of all retained records, in offset order.
         first: The first retained offset.
 
     Returns:
-        The state at the log's end.
+        The state at the end of the log.
 
     Raises:
-        LogIncompleteError: If records were trimmed that no checkpoint covers.
+        LogIncompleteError: If records were trimmed that no retained checkpoint covers.
     """
     decoded = [(offset, decode_record(data)) for offset, data in records]
     state = _find_start(decoded, first)
@@ -100,12 +103,13 @@
     ]
     if not usable:
         raise LogIncompleteError(
-            f"records before {first} are gone and no checkpoint covers them"
+            f"records before offset {first} were trimmed and no retained checkpoint "
+            "covers them"
         )
     return decode_state(min(usable, key=lambda record: record.covers).state)
 
 
-def _remember(state: State, id: str, offset: int) -> dict[str, int]:
+def _add_recent_id(state: State, id: str, offset: int) -> dict[str, int]:
     recent = {**state.recent, id: offset}
     while len(recent) > MAX_RECENT_IDS:
         del recent[next(iter(recent))]
@@ -135,9 +139,9 @@
 def _merge_targets(state: State, configuration: Configuration) -> dict[str, Target]:
     merged = {}
     for name, section in configuration.targets.items():
-        known = state.targets.get(name)
-        if known and bool(section.model) == (known.pool in configuration.models):
-            merged[name] = known
+        previous = state.targets.get(name)
+        if previous and bool(section.model) == (previous.pool in configuration.models):
+            merged[name] = previous
         else:
             merged[name] = Target(name, section.serves, section.role)
     return merged
@@ -160,14 +164,16 @@
     if record.base > offset:
         return state
     plan = Plan(record.id, record.intent, record.base, record.steps, record.operator)
-    return _forget_old_plans(state.with_plan(plan))
+    return _drop_oldest_plan(state.with_plan(plan))
 
 
-def _forget_old_plans(state: State) -> State:
+def _drop_oldest_plan(state: State) -> State:
     if len(state.plans) <= MAX_PLANS:
         return state
-    idle = [plan.id for plan in state.plans.values() if plan.status != PLAN_RUNNING]
-    oldest = idle[0]
+    not_running = [
+        plan.id for plan in state.plans.values() if plan.status != PLAN_RUNNING
+    ]
+    oldest = not_running[0]
     kept = {id: plan for id, plan in state.plans.items() if id != oldest}
     return replace(state, plans=kept)
 
@@ -180,7 +186,7 @@
     if refusal:
         return state.with_plan(replace(plan, status=PLAN_REFUSED, reason=refusal))
     if isinstance(plan.intent, Standing):
-        return _start_standing(state, plan)
+        return _activate_standing_intent(state, plan)
     for step in plan.steps:
         touched = replace(state.targets[step.target], touched=offset)
         state = state.with_target(touched)
@@ -188,7 +194,7 @@
     return state.with_plan(replace(plan, status=status))
 
 
-def _start_standing(state: State, plan: Plan) -> State:
+def _activate_standing_intent(state: State, plan: Plan) -> State:
     intent = plan.intent
     envelopes = {**state.envelopes}
     envelopes.pop(intent.model, None)
@@ -211,10 +217,10 @@
     if target is None:
         return state
     started = replace(target, epoch=offset, incarnation=record.incarnation)
-    return state.with_target(_settle(started, record.found))
+    return state.with_target(_update_from_engine(started, record.found))
 
 
-def _settle(target: Target, found: ObservedEngine) -> Target:
+def _update_from_engine(target: Target, found: ObservedEngine) -> Target:
     if not found.model:
         return target
     return replace(
@@ -233,17 +239,17 @@
     if record.order != target.order.number or record.epoch != target.epoch:
         return state
     order = target.order
-    target = _settle(replace(target, order=None), record.found)
+    target = _update_from_engine(replace(target, order=None), record.found)
     if record.done and order.step.action in ("drain", "undrain"):
         target = replace(target, drained=order.step.action == "drain")
     state = state.with_target(target)
     plan = state.plans.get(order.plan)
     if plan is None:
         return state
-    return state.with_plan(_end_step(plan, record))
+    return state.with_plan(_finish_step(plan, record))
 
 
-def _end_step(plan: Plan, record: OrderEnded) -> Plan:
+def _finish_step(plan: Plan, record: OrderEnded) -> Plan:
     plan = replace(plan, step=plan.step + 1)
     if plan.status != PLAN_RUNNING:
         return plan
@@ -278,7 +284,7 @@
 
 
 def _advance_plans(state: State, offset: int) -> State:
-    """Put the next step of each running plan in force, where nothing forbids it."""
+    """Issue the next order of each running plan whose step may begin now."""
     for plan in state.plans.values():
         if plan.status != PLAN_RUNNING:
             continue
