--- a/src/robinspindle/core/authority.py
+++ b/src/robinspindle/core/authority.py
@@ -1,31 +1,32 @@
-"""Who may give orders to engines: a claim in the platform's log, for a short time.
+"""Lease claims: which gateway may send orders to engines.
 
-A claim is one record, appended only where the log still ends as its author knows it;
-its offset is the fencing number. It is used for less than a lease from before it was
-sent, and nobody else claims until well over a lease after seeing it: so no two
-gateways order within a lease of each other, whatever their clocks say.
+A lease claim is one record in the platform's log. It is appended only if the log still
+ends where its author last read it, and its offset is the fencing token. The author uses
+the claim for less than a lease, counted from before it sent the claim. The other
+gateways wait for well over a lease after they read it before they claim. So orders of
+two gateways are more than a lease apart, whatever their clocks show.
 """
 
 from dataclasses import dataclass
 
 CLAIM_USE_LEASES = 0.4
-"""Share of a lease for which a claim is used."""
+"""Time for which a claim may be used, in leases."""
 
 CLAIM_WAIT_LEASES = 1.6
-"""Leases that must pass after another's claim was seen."""
+"""Time that must pass after another gateway's claim was read, in leases."""
 
 
 @dataclass
 class Authority:
-    """What one gateway has seen of the claims.
+    """One gateway's view of the lease claims.
 
     Attributes:
-        name: This gateway.
+        name: This gateway's name.
         lease_s: Length of a lease, seconds.
-        holder: The last claim's author, empty for none.
-        seen_at: When that claim was seen, steady seconds.
-        end: Where the log of claims ends, as far as it was read; None before.
-        era: The era of the store in which that was read.
+        holder: The gateway that made the last claim, empty for none.
+        seen_at: When that claim was read, monotonic seconds.
+        end: End offset of the log of claims as last read, None before the first read.
+        era: The store era in which the log was read.
     """
 
     name: str
@@ -41,9 +42,9 @@
     """A claim of this gateway that was accepted.
 
     Attributes:
-        fence: Its fencing number.
-        sent_at: When it was sent, steady seconds.
-        era: The era of the store that accepted it.
+        fence: The claim's fencing token.
+        sent_at: When the claim was sent, monotonic seconds.
+        era: The era of the store that accepted the claim.
     """
 
     fence: int
@@ -52,14 +53,14 @@
 
 
 UNKNOWN_HOLDER = "?"
-"""Stands for a holder whose claim the store may have lost."""
+"""Placeholder for the holder of a claim that the store may have lost."""
 
 
 def note_era(authority: Authority, now: float, era: int) -> None:
-    """Take note that the store has returned from a copy.
+    """Record that the store was restored from a backup.
 
-    Another gateway may hold a claim that is gone: nobody claims before its lease and
-    more has passed, and no claim of this gateway is used any more.
+    The backup may lack another gateway's claim. So this gateway waits for well over a
+    lease before it claims, and it no longer uses its own earlier claims.
     """
     authority.era = era
     authority.end = None
@@ -67,34 +68,39 @@
 
 
 def note_claim(authority: Authority, now: float, holder: str) -> None:
-    """Take note of a claim that was read from the log."""
-    is_lost = authority.holder == UNKNOWN_HOLDER and _protects(authority, now)
-    # The last claim that the copy holds may be older than the one that it lost.
+    """Record a claim that was read from the log."""
+    is_lost = authority.holder == UNKNOWN_HOLDER and _may_be_in_use(authority, now)
+    # The last claim in the backup may be older than the one that it lacks.
     authority.holder = UNKNOWN_HOLDER if is_lost else holder
     authority.seen_at = now
 
 
 def may_claim(authority: Authority, now: float) -> bool:
-    """Whether this gateway may try to claim."""
+    """Whether this gateway may try to append a claim."""
     if authority.end is None:
         return False
     if authority.holder in ("", authority.name):
         return True
-    return not _protects(authority, now)
+    return not _may_be_in_use(authority, now)
 
 
-def _protects(authority: Authority, now: float) -> bool:
+def _may_be_in_use(authority: Authority, now: float) -> bool:
     """Whether the last claim may still be in use."""
     return now - authority.seen_at < CLAIM_WAIT_LEASES * authority.lease_s
 
 
 def may_use(authority: Authority, claim: Claim, now: float) -> bool:
-    """Whether an order may still be sent under a claim."""
+    """Whether this gateway may still send an order under a claim."""
     if claim.era != authority.era:
         return False
     return now - claim.sent_at < CLAIM_USE_LEASES * authority.lease_s
 
 
 def has_lowest_name(name: str, peers: list[str]) -> bool:
-    """Whether a gateway is the one that decides, among those it hears."""
+    """Whether a gateway has the lowest name among its peers, and so makes decisions.
+
+    Args:
+        name: The gateway's name.
+        peers: Names of the peers from which it receives messages.
+    """
     return all(name < peer for peer in peers)
--- a/src/robinspindle/core/rebalancing.py
+++ b/src/robinspindle/core/rebalancing.py
@@ -1,8 +1,9 @@
-"""When an engine should change its role, and which.
+"""Decides when engines of a service change their role, and which ones.
 
-A change takes an engine away for seconds and has a price, so it follows what lasts:
-reading that the readers can't keep up with while the generating engines have room, or
-the reverse. Shifts of a few seconds are met by where prompts are read instead.
+A role change takes an engine out of service for seconds, so it follows only a lasting
+imbalance: more prefill than the prefill engines can keep up with while the decode
+engines have free slots, or the reverse. Shifts of a few seconds are handled by the
+choice of the engine that runs prefill instead.
 """
 
 import math
@@ -15,74 +16,80 @@
 DECODE_ROLE = "decode"
 
 DEMAND_WINDOW_S = 3.0
-"""Time over which the demand for reading is averaged, seconds: about one swing of the
-mix, so that a single swing does not look like a trend."""
-
-READ_FULL = 0.4
-"""Readers count as too few when the demand is above this share of their time: the mean
-hides swings to twice and more. With less, engines are taken from answers that come in
-crowds of their own."""
-
-READ_IDLE = 0.25
-READ_IDLE_OF_MANY = 0.15
-"""Readers count as too many when one fewer would be used below this share; below that
-where many were prepared for a crowd."""
-
-HOST_FULL = 0.5
-"""Share of their slots that long answers may fill on the generating engines that are
-left: bursts of answers go up to about twice the mean."""
-
-HOST_SHORT = 0.75
-"""Generating engines count as too few above this share."""
-
-HOST_BUSY = 0.65
-"""Share of their slots that long answers fill on generating engines once readers have
-turned back to them."""
-
-LEAST_GENERATING_SHARE = 0.5
-"""Share of the engines that goes on generating: with less the loss of one machine, or a
-crowd of long answers, finds too few of them."""
-
-MANY_ENGINES = 10
-CALM_READ_RATE = 0.6
-CALM_READ_FULL = 0.25
-CALM_GENERATING_SHARE = 0.4
-CALM_BATCH_SHARE = 1 / 4
-"""Where at least so many engines are asked for less reading than this share of their
-readers' time, they are prepared for a crowd: readers count as too few above this share,
-this share goes on generating, and this share may change at a time. A change takes an
-engine away for seconds, which a crowd that has come does not bear. Among fewer engines
-each one is too large a part of them."""
-
-LEAST_HOSTS = 2
-"""Fewer engines that generate are joined by a reader, whatever the demand: without one
-nothing is answered."""
-
-MOST_PRESSURE = 1.0
-HOST_CROWDED = 0.25
-"""Where the longest answers would take more than this share of the time that their
-callers give them, and long answers fill more than this share of slots, engines that
-generate are too few for them. Either alone misleads: prompts that are read beside
-answers slow them too, and then it is readers that lack."""
-
-REST_S = 3.0
-"""Least time between two changes besides the change itself, seconds."""
-
-TURN_BACK_S = 20.0
-"""Least time before a change in the other direction, seconds: several times what both
-changes cost."""
+"""Time constant of the average of the prefill demand, seconds. It is about the length
+of one swing in the mix of requests, so that a single swing doesn't look like a trend.
+"""
+
+PREFILL_OVERLOAD_SHARE = 0.4
+"""Prefill engines are too few when the prefill load exceeds this share of their
+capacity, because the average hides swings to twice the load and more. A lower share
+takes engines away from answers, which come in bursts of their own."""
+
+PREFILL_IDLE_SHARE = 0.25
+LARGE_FLEET_PREFILL_IDLE_SHARE = 0.15
+"""Prefill engines are too many when the load would be below this share of their
+capacity with one engine fewer. The share is lower in a large fleet, where prefill
+engines were added in preparation for a burst."""
+
+MAX_REMAINING_SLOT_SHARE = 0.5
+"""Maximum share of slots that long answers may fill on the decode engines that
+remain after a change to prefill: bursts of answers reach about twice the average."""
+
+DECODE_OVERLOAD_SHARE = 0.75
+"""Decode engines are too few when long answers fill more than this share of slots."""
+
+DECODE_GOAL_SHARE = 0.65
+"""Share of slots that long answers should fill on the decode engines after prefill
+engines have changed to decode."""
+
+MIN_DECODE_SHARE = 0.5
+"""Minimum share of the engines that stay decode engines. With fewer, the loss of one
+machine or a burst of long answers leaves too few of them."""
+
+LARGE_FLEET_ENGINES = 10
+"""Minimum number of engines of a large fleet, which prepares for a burst of prompts
+while its load is low: a role change takes an engine out of service for seconds, which
+is too long once the burst has begun. In a smaller fleet each engine is too large a part
+of the capacity for that."""
+
+LOW_PREFILL_LOAD = 0.6
+"""The prefill load is low up to this share of the prefill engines' capacity."""
+
+LOW_LOAD_PREFILL_OVERLOAD_SHARE = 0.25
+LOW_LOAD_MIN_DECODE_SHARE = 0.4
+LOW_LOAD_BATCH_SHARE = 1 / 4
+"""Thresholds of a large fleet under low load, in place of `PREFILL_OVERLOAD_SHARE`,
+`MIN_DECODE_SHARE` and `BATCH_SHARE`."""
+
+MIN_DECODE_ENGINES = 2
+"""With fewer decode engines a prefill engine changes to decode, whatever the demand:
+without a decode engine no request is answered."""
+
+MAX_PRESSURE = 1.0
+OVERLOADED_SLOT_SHARE = 0.25
+"""Decode engines are overloaded when the longest answers would take more than the share
+`MAX_PRESSURE` of the time that their callers allow, and long answers fill more than
+`OVERLOADED_SLOT_SHARE` of the slots. Either condition alone is misleading: prefill on
+decode engines slows answers too, and then prefill engines are too few."""
+
+CHANGE_PAUSE_S = 3.0
+"""Minimum time between the end of a role change and the next change, seconds."""
+
+REVERSE_CHANGE_S = 20.0
+"""Minimum time before a change in the other direction, seconds: several times the cost
+of both changes."""
 
 BATCH_SHARE = 1 / 8
-"""Share of the engines that may change at a time."""
+"""Share of the engines that may change their role at a time."""
 
 
 @dataclass
 class PrefillDemand:
-    """Readers' work asked of one gateway, as a decaying sum.
+    """Prefill work that callers requested of one gateway, as a decaying sum.
 
     Attributes:
-        seconds: The sum, seconds of one reader.
-        at: When it was last brought up to date, steady seconds.
+        seconds: The sum, seconds of one prefill engine.
+        at: When the sum was last updated, monotonic seconds.
     """
 
     seconds: float = 0.0
@@ -91,11 +98,11 @@
 
 @dataclass
 class RoleChangeHistory:
-    """Changes that were made.
+    """The last role change of a service.
 
     Attributes:
-        changed_at: When the last was begun, steady seconds.
-        last_role: The role that it led to, empty before the first.
+        changed_at: When the change began, monotonic seconds.
+        last_role: The new role, empty before the first change.
     """
 
     changed_at: float = -math.inf
@@ -104,13 +111,14 @@
 
 @dataclass(frozen=True)
 class RoleChange:
-    """Engines that should take a role.
+    """A change of one or more engines to a role.
 
     Attributes:
-        role: The role.
+        role: The new role.
         targets: The engines.
-        replaces_lost: Whether it replaces lost engines. They may be back soon, so the
-            change doesn't reflect the demand and doesn't delay the reverse change.
+        replaces_lost: Whether the change replaces lost engines. They may be back soon,
+            so the change doesn't reflect the demand and doesn't delay the reverse
+            change.
     """
 
     role: str
@@ -118,25 +126,31 @@
     replaces_lost: bool = False
 
 
-Pair = tuple[Target, Engine]
+EnginePair = tuple[Target, Engine]
 
 
 def note_prefill_demand(demand: PrefillDemand, now: float, seconds: float) -> None:
-    """Record how long prefill of a new prompt takes, served or not."""
+    """Add the prefill time of a new prompt to the demand, whether it is served or not.
+
+    Args:
+        demand: The demand; updated.
+        now: The current time, monotonic seconds.
+        seconds: Estimated prefill time on a prefill engine, seconds.
+    """
     demand.seconds = compute_prefill_load(demand, now) * DEMAND_WINDOW_S + seconds
     demand.at = now
 
 
 def compute_prefill_load(demand: PrefillDemand, now: float) -> float:
-    """Read the demand, readers' seconds a second."""
+    """Compute the prefill load: prefill seconds per second, in prefill engines."""
     return (
         demand.seconds * math.exp((demand.at - now) / DEMAND_WINDOW_S) / DEMAND_WINDOW_S
     )
 
 
 def decide_role_change(
-    engines: list[Pair],
-    read_rate: float,
+    engines: list[EnginePair],
+    prefill_load: float,
     history: RoleChangeHistory,
     now: float,
     switch_s: float,
@@ -146,131 +160,204 @@
 
     Args:
         engines: All usable engines of the service.
-        read_rate: Readers' seconds a second that all gateways are asked for.
-        history: The changes so far.
-        now: The present time, steady seconds.
-        switch_s: How long a change takes an engine away, seconds.
-        pressure: How long the longest answers take, as a share of the time that they
-            have.
+        prefill_load: Prefill load on all gateways together, in prefill engines.
+        history: The last role change of the service.
+        now: The current time, monotonic seconds.
+        switch_s: How long a role change takes an engine out of service, seconds.
+        pressure: Duration of the longest answers, as a share of the time that their
+            callers allow.
+
+    Returns:
+        The change to make now, or None.
     """
-    if now - history.changed_at < switch_s + REST_S:
+    if now - history.changed_at < switch_s + CHANGE_PAUSE_S:
         return None
-    readers = [pair for pair in engines if pair[1].reads_only]
-    hosts = [pair for pair in engines if not pair[1].reads_only]
-    if len(hosts) < LEAST_HOSTS and len(readers) > len(hosts) + 1:
-        return _turn_reader(readers, replaces_lost=True)
-    if not readers or not hosts:
+    prefill_engines = [pair for pair in engines if pair[1].reads_only]
+    decode_engines = [pair for pair in engines if not pair[1].reads_only]
+    if (
+        len(decode_engines) < MIN_DECODE_ENGINES
+        and len(prefill_engines) > len(decode_engines) + 1
+    ):
+        return _change_one_to_decode(prefill_engines, replaces_lost=True)
+    if not prefill_engines or not decode_engines:
         return None
-    is_crowded = pressure > MOST_PRESSURE and _fill_hosts(hosts) > HOST_CROWDED
-    if is_crowded and len(hosts) < _count_least_hosts(readers, hosts):
-        # Engines that generate were lost, and what is left is too slow.
-        return _turn_reader(readers, replaces_lost=True)
-    aims = _find_aims(readers, hosts, read_rate)
-    batch = max(1, int(len(engines) * aims.batch_share))
-    lacking = _count_more_hosts(readers, hosts, read_rate)
-    if lacking > 0:
-        # Answers hold their slots for long: they can't wait until readers may turn.
-        return _turn_readers(readers, min(batch, lacking), replaces_lost=True)
-    wanted = 0 if is_crowded else _count_more_readers(readers, hosts, read_rate, aims)
-    if wanted > 0 and _may_turn(history, PREFILL_ROLE, now):
-        ranked = sorted(hosts, key=lambda pair: pair[1].long_answers)
-        return RoleChange(PREFILL_ROLE, _take(ranked, min(batch, wanted)))
-    if _needs_host(readers, hosts, read_rate) and _may_turn(history, DECODE_ROLE, now):
-        return _turn_reader(readers)
+    is_overloaded = (
+        pressure > MAX_PRESSURE
+        and _compute_slot_share(decode_engines) > OVERLOADED_SLOT_SHARE
+    )
+    if is_overloaded and len(decode_engines) < _count_min_decode_engines(
+        prefill_engines, decode_engines
+    ):
+        # Decode engines were lost, and the remaining ones are too slow.
+        return _change_one_to_decode(prefill_engines, replaces_lost=True)
+    thresholds = _choose_thresholds(prefill_engines, decode_engines, prefill_load)
+    batch = max(1, int(len(engines) * thresholds.batch_share))
+    missing = _count_missing_decode_engines(
+        prefill_engines, decode_engines, prefill_load
+    )
+    if missing > 0:
+        # Long answers occupy their slots for long, so this change doesn't wait for the
+        # minimum time before a reverse change.
+        return _change_to_decode(
+            prefill_engines, min(batch, missing), replaces_lost=True
+        )
+    wanted = (
+        0
+        if is_overloaded
+        else _count_missing_prefill_engines(
+            prefill_engines, decode_engines, prefill_load, thresholds
+        )
+    )
+    if wanted > 0 and _may_change_to(history, PREFILL_ROLE, now):
+        ranked = sorted(decode_engines, key=lambda pair: pair[1].long_answers)
+        return RoleChange(PREFILL_ROLE, _take_first(ranked, min(batch, wanted)))
+    if _needs_decode_engine(
+        prefill_engines, decode_engines, prefill_load
+    ) and _may_change_to(history, DECODE_ROLE, now):
+        return _change_one_to_decode(prefill_engines)
     return None
 
 
 @dataclass(frozen=True)
-class _Aims:
-    """What is aimed at: see the constants of the same names."""
+class _Thresholds:
+    """Thresholds of a decision; see the constants of the same names."""
 
-    read_full: float = READ_FULL
-    generating_share: float = LEAST_GENERATING_SHARE
+    prefill_overload_share: float = PREFILL_OVERLOAD_SHARE
+    min_decode_share: float = MIN_DECODE_SHARE
     batch_share: float = BATCH_SHARE
 
 
-CALM_AIMS = _Aims(CALM_READ_FULL, CALM_GENERATING_SHARE, CALM_BATCH_SHARE)
+LOW_LOAD_THRESHOLDS = _Thresholds(
+    LOW_LOAD_PREFILL_OVERLOAD_SHARE, LOW_LOAD_MIN_DECODE_SHARE, LOW_LOAD_BATCH_SHARE
+)
 
 
-def _find_aims(readers: list[Pair], hosts: list[Pair], read_rate: float) -> _Aims:
-    """Find what to aim at: many engines are prepared for a crowd while it is calm."""
-    is_calm = read_rate <= CALM_READ_RATE * len(readers)
-    return CALM_AIMS if is_calm and _are_many(readers, hosts) else _Aims()
+def _choose_thresholds(
+    prefill_engines: list[EnginePair],
+    decode_engines: list[EnginePair],
+    prefill_load: float,
+) -> _Thresholds:
+    """Choose the thresholds: a large fleet under low load prepares for a burst."""
+    is_low_load = prefill_load <= LOW_PREFILL_LOAD * len(prefill_engines)
+    return (
+        LOW_LOAD_THRESHOLDS
+        if is_low_load and _is_large_fleet(prefill_engines, decode_engines)
+        else _Thresholds()
+    )
 
 
-def _are_many(readers: list[Pair], hosts: list[Pair]) -> bool:
-    return len(readers) + len(hosts) >= MANY_ENGINES
+def _is_large_fleet(
+    prefill_engines: list[EnginePair], decode_engines: list[EnginePair]
+) -> bool:
+    return len(prefill_engines) + len(decode_engines) >= LARGE_FLEET_ENGINES
 
 
-def _may_turn(history: RoleChangeHistory, role: str, now: float) -> bool:
+def _may_change_to(history: RoleChangeHistory, role: str, now: float) -> bool:
     is_same = history.last_role in ("", role)
-    return is_same or now - history.changed_at >= TURN_BACK_S
+    return is_same or now - history.changed_at >= REVERSE_CHANGE_S
 
 
-def _turn_reader(readers: list[Pair], replaces_lost: bool = False) -> RoleChange:
-    """Have the reader with the least work generate."""
-    return _turn_readers(readers, 1, replaces_lost)
+def _change_one_to_decode(
+    prefill_engines: list[EnginePair], replaces_lost: bool = False
+) -> RoleChange:
+    """Make a change of the prefill engine with the least work to the decode role."""
+    return _change_to_decode(prefill_engines, 1, replaces_lost)
 
 
-def _turn_readers(readers: list[Pair], count: int, replaces_lost: bool) -> RoleChange:
-    """Have the readers with the least work generate."""
-    ranked = sorted(readers, key=lambda pair: pair[1].work_s)
-    return RoleChange(DECODE_ROLE, _take(ranked, count), replaces_lost)
+def _change_to_decode(
+    prefill_engines: list[EnginePair], count: int, replaces_lost: bool
+) -> RoleChange:
+    """Make a change of the prefill engines with the least work to the decode role."""
+    ranked = sorted(prefill_engines, key=lambda pair: pair[1].work_s)
+    return RoleChange(DECODE_ROLE, _take_first(ranked, count), replaces_lost)
 
 
-def _take(ranked: list[Pair], count: int) -> tuple[Target, ...]:
+def _take_first(ranked: list[EnginePair], count: int) -> tuple[Target, ...]:
     return tuple(target for target, _ in ranked[:count])
 
 
-def _count_more_readers(
-    readers: list[Pair], hosts: list[Pair], read_rate: float, aims: _Aims
+def _count_missing_prefill_engines(
+    prefill_engines: list[EnginePair],
+    decode_engines: list[EnginePair],
+    prefill_load: float,
+    thresholds: _Thresholds,
 ) -> int:
-    if read_rate <= aims.read_full * len(readers):
+    if prefill_load <= thresholds.prefill_overload_share * len(prefill_engines):
         return 0
-    wanted = math.ceil(read_rate / aims.read_full) - len(readers)
-    spare = len(hosts) - _count_least_hosts(readers, hosts, aims.generating_share)
-    needed = math.ceil(_count_engines_for(hosts, HOST_FULL))
-    return max(0, min(wanted, spare, len(hosts) - needed))
+    wanted = math.ceil(prefill_load / thresholds.prefill_overload_share) - len(
+        prefill_engines
+    )
+    spare = len(decode_engines) - _count_min_decode_engines(
+        prefill_engines, decode_engines, thresholds.min_decode_share
+    )
+    needed = math.ceil(
+        _count_engines_for_answers(decode_engines, MAX_REMAINING_SLOT_SHARE)
+    )
+    return max(0, min(wanted, spare, len(decode_engines) - needed))
 
 
-def _count_more_hosts(readers: list[Pair], hosts: list[Pair], read_rate: float) -> int:
-    """Count the readers that answers lack more than prompts would miss them.
+def _count_missing_decode_engines(
+    prefill_engines: list[EnginePair],
+    decode_engines: list[EnginePair],
+    prefill_load: float,
+) -> int:
+    """Count the prefill engines of a large fleet that decode needs more than prefill.
 
-    Where both lack engines these are shared out by how many each kind of work keeps
-    busy.
+    When both prefill and decode lack engines, the engines are divided in proportion to
+    the number that each of them keeps busy.
     """
-    if not _are_many(readers, hosts) or _fill_hosts(hosts) <= HOST_SHORT:
+    if (
+        not _is_large_fleet(prefill_engines, decode_engines)
+        or _compute_slot_share(decode_engines) <= DECODE_OVERLOAD_SHARE
+    ):
         return 0
-    generating = _count_engines_for(hosts, HOST_BUSY)
-    total = len(readers) + len(hosts)
-    share = total * generating / (read_rate + generating)
-    wanted = math.ceil(min(share, generating))
-    return max(0, min(wanted - len(hosts), len(readers) - 1))
+    busy_decode_engines = _count_engines_for_answers(decode_engines, DECODE_GOAL_SHARE)
+    total = len(prefill_engines) + len(decode_engines)
+    share = total * busy_decode_engines / (prefill_load + busy_decode_engines)
+    wanted = math.ceil(min(share, busy_decode_engines))
+    return max(0, min(wanted - len(decode_engines), len(prefill_engines) - 1))
 
 
-def _count_engines_for(hosts: list[Pair], fill: float) -> float:
-    """Count the engines that all long answers need if each is filled so far."""
-    answers = sum(engine.long_answers for _, engine in hosts)
-    slots = min(target.announced.slots for target, _ in hosts)
-    return answers / (fill * slots)
+def _count_engines_for_answers(
+    decode_engines: list[EnginePair], slot_share: float
+) -> float:
+    """Count the engines that all long answers need if they fill a share of the slots.
 
+    Args:
+        decode_engines: The decode engines.
+        slot_share: Share of an engine's slots that long answers fill.
+    """
+    answers = sum(engine.long_answers for _, engine in decode_engines)
+    slots = min(target.announced.slots for target, _ in decode_engines)
+    return answers / (slot_share * slots)
 
-def _fill_hosts(hosts: list[Pair]) -> float:
-    """Find the share of their slots that long answers fill."""
-    answers = sum(engine.long_answers for _, engine in hosts)
-    return answers / sum(target.announced.slots for target, _ in hosts)
 
+def _compute_slot_share(decode_engines: list[EnginePair]) -> float:
+    """Compute the share of slots that long answers fill on decode engines."""
+    answers = sum(engine.long_answers for _, engine in decode_engines)
+    return answers / sum(target.announced.slots for target, _ in decode_engines)
 
-def _count_least_hosts(
-    readers: list[Pair], hosts: list[Pair], share: float = LEAST_GENERATING_SHARE
+
+def _count_min_decode_engines(
+    prefill_engines: list[EnginePair],
+    decode_engines: list[EnginePair],
+    share: float = MIN_DECODE_SHARE,
 ) -> int:
-    total = len(readers) + len(hosts)
-    return max(LEAST_HOSTS, math.ceil(total * share))
+    total = len(prefill_engines) + len(decode_engines)
+    return max(MIN_DECODE_ENGINES, math.ceil(total * share))
 
 
-def _needs_host(readers: list[Pair], hosts: list[Pair], read_rate: float) -> bool:
-    if len(readers) < 2:
+def _needs_decode_engine(
+    prefill_engines: list[EnginePair],
+    decode_engines: list[EnginePair],
+    prefill_load: float,
+) -> bool:
+    if len(prefill_engines) < 2:
         return False
-    idle = READ_IDLE_OF_MANY if _are_many(readers, hosts) else READ_IDLE
-    is_idle = read_rate < idle * (len(readers) - 1)
-    return is_idle and _fill_hosts(hosts) > HOST_SHORT
+    idle_share = (
+        LARGE_FLEET_PREFILL_IDLE_SHARE
+        if _is_large_fleet(prefill_engines, decode_engines)
+        else PREFILL_IDLE_SHARE
+    )
+    is_idle = prefill_load < idle_share * (len(prefill_engines) - 1)
+    return is_idle and _compute_slot_share(decode_engines) > DECODE_OVERLOAD_SHARE
--- a/src/robinspindle/core/roles.py
+++ b/src/robinspindle/core/roles.py
@@ -1,6 +1,7 @@
-"""Role policy: when a changed mix of prompts and answers is worth a role change.
+"""Role policy: decides when a changed mix of prompts and answers justifies a change.
 
-Only inside a confirmed standing intent, and never for less than the change costs.
+The policy acts only within a confirmed standing intent, and only if the gain exceeds
+the cost of the change.
 """
 
 import math
@@ -12,17 +13,22 @@
 from robinspindle.messages import Report
 
 SUSTAINED_S = 3.0
+"""Time for which the same change must have been the best one, seconds."""
+
 PAYBACK_S = 30.0
-BUSY_SHARE = 0.5
+"""Time within which a change must pay for the capacity that it costs, seconds."""
+
+MIN_LOAD = 0.5
+"""Load of a pool below which no role changes."""
 
 
 @dataclass
 class PendingChanges:
-    """How long a change has been worth while, by model.
+    """Changes that must remain the best ones for a while before they are made.
 
     Attributes:
-        wanted: The change that has been worth while, by model.
-        since: Since when.
+        wanted: Target and new role of the best change, by model.
+        since: Since when it has been the best change, by model, monotonic seconds.
     """
 
     wanted: dict[str, tuple[str, str]] = field(default_factory=dict)
@@ -31,11 +37,12 @@
 
 @dataclass(frozen=True)
 class PoolDemand:
-    """Work asked of a pool, in engines that it keeps busy.
+    """The load on a pool, as the number of engines that it keeps busy.
 
     Attributes:
-        prefill: Engines busy with prompts, which are read one after the other.
-        decode: Engines busy with answers, which share an engine's slots.
+        prefill: Engines busy with prefill, which an engine runs for one prompt at a
+            time.
+        decode: Engines busy with decode; answers share an engine's slots.
     """
 
     prefill: float
@@ -43,14 +50,19 @@
 
 
 def measure_demand(reports: list[Report]) -> PoolDemand:
-    """Turn the reports of one pool into engines kept busy by each kind of work."""
+    """Compute from the reports of one pool how many engines each phase keeps busy."""
     prefill = sum(report.prompt_rate * report.prefill_s for report in reports)
     decode = sum(report.token_rate * report.step_s / report.slots for report in reports)
     return PoolDemand(prefill, decode)
 
 
 def estimate_load(demand: PoolDemand, roles: list[str]) -> float:
-    """Estimate how loaded the busiest part of a pool is; 1 is full."""
+    """Estimate the load of the busiest part of a pool; 1 is full capacity.
+
+    Args:
+        demand: The load on the pool.
+        roles: The role of each engine of the pool.
+    """
     mixed = roles.count("mixed")
     parts = (
         (demand.prefill + demand.decode, len(roles)),
@@ -67,7 +79,7 @@
 
 
 def decide_role_change(
-    watch: PendingChanges,
+    pending: PendingChanges,
     state: State,
     envelope: Envelope,
     reports: dict[str, Report],
@@ -76,36 +88,45 @@
     """Decide whether one target of a model should change its role.
 
     Args:
-        watch: What was worth while before; brought up to date.
-        state: The folded control stream.
-        envelope: The standing intent.
-        reports: Last reports by target.
-        now: The present time, monotonic seconds.
+        pending: The changes that were the best ones before; updated.
+        state: The replicated state.
+        envelope: The standing intent in effect for the model.
+        reports: The last report of each target, by the target's name.
+        now: The current time, monotonic seconds.
 
     Returns:
-        The target and its new role, or None.
+        The target and its new role, or None. None is also returned while a report of
+        the pool is missing or an order is being executed.
     """
     model = envelope.intent.model
     pool = [target for target in state.targets.values() if target.pool == model]
-    heard = [reports[target.name] for target in pool if target.name in reports]
-    if len(heard) < len(pool) or any(target.order for target in pool):
+    received = [reports[target.name] for target in pool if target.name in reports]
+    if len(received) < len(pool) or any(target.order for target in pool):
         return None
-    best = _find_best(pool, envelope, measure_demand(heard))
+    best = _find_best_change(pool, envelope, measure_demand(received))
     if best is None:
-        watch.wanted.pop(model, None)
+        pending.wanted.pop(model, None)
         return None
-    if watch.wanted.get(model) != best:
-        watch.wanted[model] = best
-        watch.since[model] = now
-    if now - watch.since[model] < SUSTAINED_S:
+    if pending.wanted.get(model) != best:
+        pending.wanted[model] = best
+        pending.since[model] = now
+    if now - pending.since[model] < SUSTAINED_S:
         return None
     return best
 
 
 def make_role_change(
-    state: State, holder: str, change: tuple[str, str], id: str, wall: float
+    state: State, holder: str, change: tuple[str, str], id: str, wall_s: float
 ) -> RoleActed:
-    """Make the record of an automatic change; ``wall`` is seconds since the epoch."""
+    """Make the record of an automatic role change.
+
+    Args:
+        state: The replicated state.
+        holder: The coordinator.
+        change: The target and its new role.
+        id: Id of the record.
+        wall_s: The current wall-clock time, seconds since the Unix epoch.
+    """
     target, role = change
     return RoleActed(
         id=id,
@@ -113,30 +134,35 @@
         fence=state.lease.fence,
         target=target,
         role=role,
-        at=wall,
+        at=wall_s,
     )
 
 
-def _find_best(
+def _find_best_change(
     pool: list[Target], envelope: Envelope, demand: PoolDemand
 ) -> tuple[str, str] | None:
+    """Find the change of one target's role with the largest gain, if it is enough."""
     intent = envelope.intent
     roles = {target.name: target.role for target in pool}
-    now_load = estimate_load(demand, list(roles.values()))
-    if now_load < BUSY_SHARE:
+    current_load = estimate_load(demand, list(roles.values()))
+    if current_load < MIN_LOAD:
         return None
-    lost = ROLE_CHANGE_S / (PAYBACK_S * len(pool))
-    best, best_gain = None, intent.gain + lost
+    cost = ROLE_CHANGE_S / (PAYBACK_S * len(pool))
+    best, best_gain = None, intent.gain + cost
     for target in sorted(pool, key=lambda target: target.name):
         for role in ("prefill", "decode"):
-            after = list((roles | {target.name: role}).values())
-            prefill = after.count("prefill")
+            roles_after = list((roles | {target.name: role}).values())
+            prefill = roles_after.count("prefill")
             if role == target.role or target.drained:
                 continue
             if not intent.least_prefill <= prefill <= intent.most_prefill:
                 continue
-            load = estimate_load(demand, after)
-            gain = 1.0 - load / now_load if now_load < math.inf else float(load < 9)
+            load = estimate_load(demand, roles_after)
+            gain = (
+                1.0 - load / current_load
+                if current_load < math.inf
+                else float(load < 9)
+            )
             if gain > best_gain + 1e-9:
                 best, best_gain = (target.name, role), gain
     return best
--- a/src/robinspindle/core/scaling.py
+++ b/src/robinspindle/core/scaling.py
@@ -1,36 +1,37 @@
-"""How many targets a service should have in an availability zone.
+"""Decides how many targets a service should have in an availability zone.
 
-More are wanted at once, and ahead of what they take to start; fewer only after a while,
-one at a time, and never fewer than still serve when one of them is lost. Nothing is
-wanted of a service that the operator gave no bounds.
+Scaling up is immediate and anticipates the demand by the start time of a target.
+Scaling down waits, removes one target at a time, and always leaves enough targets to
+serve the demand after the loss of one. A service without bounds from the operator is
+not scaled.
 """
 
 import math
 from dataclasses import dataclass, field
 
 PLANNED_UTILIZATION = 0.6
-"""Share of their slots up to which targets are meant to be used: queues grow fast
-beyond it, and a loss shifts its work to the others."""
+"""Share of the slots that the scaling aims to fill: beyond it queues grow fast,
+and the work of a lost target has to fit on the others."""
 
 SPARE_TARGETS = 1
-"""Targets that may be lost without the others being overrun."""
+"""Number of targets that may be lost without overloading the others."""
 
-TREND_S = 5.0
+TREND_WINDOW_S = 5.0
 """Time over which the rise of the demand is measured, seconds."""
 
-CALM_S = 20.0
-"""Least time for which fewer must have been enough before one is given up, beyond twice
-what a new one takes to start, seconds."""
+SCALE_DOWN_DELAY_S = 20.0
+"""Time for which fewer targets must have been enough before one is removed, in addition
+to twice the start time of a target, seconds."""
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """What the operator allows of a service, in each zone.
+    """The operator's bounds for the number of a service's targets in each zone.
 
     Attributes:
-        least: The fewest targets.
-        most: The most targets.
-        start_s: How long a new target takes to serve, seconds.
+        least: Minimum number of targets.
+        most: Maximum number of targets.
+        start_s: Time until a new target serves, seconds.
     """
 
     least: int
@@ -43,8 +44,8 @@
     """The demand at one moment.
 
     Attributes:
-        at: When it was seen, steady seconds.
-        busy: Slots that requests took, those that waited for one among them.
+        at: When the demand was measured, monotonic seconds.
+        busy: Number of slots that requests occupied or waited for.
     """
 
     at: float
@@ -53,39 +54,48 @@
 
 @dataclass
 class ZoneDemand:
-    """What is known of one service in one zone.
+    """The demand for one service in one zone, and the scaling orders so far.
 
     Attributes:
-        samples: The demand of the last seconds, the oldest first.
-        desired: What was ordered last; None before.
-        fewer_since: Since when fewer have been enough, steady seconds; None if not.
-        most_needed: The most that was needed since then.
+        samples: Samples of the last seconds, the oldest first.
+        desired: Number of targets in the last order, None before the first.
+        fewer_since: Since when fewer targets have been enough, monotonic seconds; None
+            if they are not.
+        max_needed: Maximum number of targets that were needed since then.
     """
 
     samples: list[Sample] = field(default_factory=list)
     desired: int | None = None
     fewer_since: float | None = None
-    most_needed: int = 0
+    max_needed: int = 0
 
 
 def note_busy_slots(demand: ZoneDemand, now: float, busy: float) -> None:
-    """Take note of the slots that requests take now, of all entries together."""
+    """Record how many slots requests occupy or wait for now, on all gateways together.
+
+    Args:
+        demand: The demand; updated.
+        now: The current time, monotonic seconds.
+        busy: Number of slots.
+    """
     demand.samples.append(Sample(now, busy))
-    demand.samples = [s for s in demand.samples if now - s.at <= TREND_S]
+    demand.samples = [s for s in demand.samples if now - s.at <= TREND_WINDOW_S]
 
 
 def find_needed(demand: ZoneDemand, slots: int, bounds: Bounds) -> int:
-    """Find how many targets are needed once a new one could serve.
+    """Find how many targets will be needed at the time when a new one could serve.
 
     Args:
-        demand: What is known; at least one sample.
-        slots: Slots of one target.
-        bounds: What the operator allows.
+        demand: The demand, with at least one sample.
+        slots: Number of slots of one target.
+        bounds: The operator's bounds.
     """
     first, last = demand.samples[0], demand.samples[-1]
-    passed_s = last.at - first.at
-    rise = max(0.0, (last.busy - first.busy) / passed_s) if passed_s > 0 else 0.0
-    busy = last.busy + rise * bounds.start_s
+    elapsed_s = last.at - first.at
+    rise_per_s = (
+        max(0.0, (last.busy - first.busy) / elapsed_s) if elapsed_s > 0 else 0.0
+    )
+    busy = last.busy + rise_per_s * bounds.start_s
     needed = math.ceil(busy / (slots * PLANNED_UTILIZATION)) + SPARE_TARGETS
     return min(bounds.most, max(bounds.least, needed))
 
@@ -93,14 +103,14 @@
 def decide_desired(
     demand: ZoneDemand, now: float, slots: int, present: int, bounds: Bounds
 ) -> int:
-    """Decide how many targets there should be.
+    """Decide how many targets a service should have in a zone.
 
     Args:
-        demand: What is known; changed in place.
-        now: The present time, steady seconds.
-        slots: Slots of one target.
-        present: Targets that there are.
-        bounds: What the operator allows.
+        demand: The demand, with at least one sample; updated.
+        now: The current time, monotonic seconds.
+        slots: Number of slots of one target.
+        present: Number of targets at present.
+        bounds: The operator's bounds.
     """
     needed = find_needed(demand, slots, bounds)
     desired = demand.desired if demand.desired is not None else present
@@ -109,11 +119,11 @@
         demand.fewer_since = None
         return needed
     if demand.fewer_since is None:
-        demand.fewer_since, demand.most_needed = now, needed
-    demand.most_needed = max(demand.most_needed, needed)
-    if now - demand.fewer_since < CALM_S + 2 * bounds.start_s:
+        demand.fewer_since, demand.max_needed = now, needed
+    demand.max_needed = max(demand.max_needed, needed)
+    if now - demand.fewer_since < SCALE_DOWN_DELAY_S + 2 * bounds.start_s:
         return desired
-    # Each that is given up is waited after anew.
-    fewer = max(desired - 1, demand.most_needed)
+    # The delay starts again after each removal.
+    fewer = max(desired - 1, demand.max_needed)
     demand.fewer_since = None
     return fewer
--- a/tests/core/test_rolesplay.py
+++ b/tests/core/test_rolesplay.py
@@ -149,8 +149,10 @@
 
 def never_prepare(monkeypatch):
     """Change roles once a crowd has come alone, few at a time."""
-    monkeypatch.setattr(rebalancing, "_find_aims", lambda *_: rebalancing._Aims())
-    monkeypatch.setattr(rebalancing, "_count_more_hosts", lambda *_: 0)
+    monkeypatch.setattr(
+        rebalancing, "_choose_thresholds", lambda *_: rebalancing._Thresholds()
+    )
+    monkeypatch.setattr(rebalancing, "_count_missing_decode_engines", lambda *_: 0)
 
 
 def test_engines_that_were_prepared_read_a_crowd_of_prompts_in_time():
