--- a/src/robinspindle/core/burn.py
+++ b/src/robinspindle/core/burn.py
@@ -1,8 +1,8 @@
-"""Service-level burn: how fast each workspace's promise is being spent.
+"""Burn rates of service-level objectives, by workspace and class of work.
 
-A request is good if its answer was whole and in the promised time. The burn rate is
-the share of bad requests over the share that the objective allows: at 1 the promise
-is spent exactly in its period.
+A request is good if its answer was complete and met its latency objectives. The burn
+rate is the share of bad requests divided by the share that the objective allows: at 1
+the error budget is used up exactly at the end of its period.
 """
 
 from collections import deque
@@ -12,27 +12,27 @@
 
 BUCKET_S = 15.0
 WINDOWS_S = {"1m": 60.0, "5m": 300.0, "1h": 3600.0}
-KEPT_S = 3600.0
+RETENTION_S = 3600.0
 
 
 @dataclass
 class Bucket:
-    """Counts of one stretch of time.
+    """Counts of requests that ended in one time bucket.
 
     Attributes:
-        begun: Start of the stretch, seconds.
-        good: Requests that kept the promise.
-        bad: Requests that did not, by who spent it.
+        start: Start of the bucket, monotonic seconds.
+        good: Number of good requests.
+        bad: Number of bad requests by cause, a target or a decision.
     """
 
-    begun: float
+    start: float
     good: int = 0
     bad: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
 class ObjectiveKey:
-    """Whose promise it is."""
+    """The workspace and the class of work that an objective applies to."""
 
     workspace: str
     work: str
@@ -40,22 +40,22 @@
 
 @dataclass
 class BurnCounts:
-    """Good and bad requests of one entry, by subject."""
+    """Counts of good and bad requests at one entry, by workspace and class of work."""
 
     buckets: dict[ObjectiveKey, deque[Bucket]] = field(default_factory=dict)
 
 
 class BurnRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Burn of one subject over one window.
+    """Good and bad requests of a workspace and a class of work over one time window.
 
     Attributes:
         workspace: The workspace.
         work: The class of work.
-        window: The window's name.
+        window: The window's name, a key of `WINDOWS_S`.
         objective: Share of requests that must be good.
-        good: Good requests.
-        bad: Bad requests.
-        spenders: Bad requests by the target or decision that spent them.
+        good: Number of good requests.
+        bad: Number of bad requests.
+        spenders: Number of bad requests by cause, a target or a decision.
     """
 
     workspace: str
@@ -68,7 +68,7 @@
 
     @property
     def rate(self) -> float:
-        """How many times faster than allowed the promise is spent."""
+        """The burn rate: share of bad requests over the share that is allowed."""
         total = self.good + self.bad
         allowed = 1.0 - self.objective
         if not total or not self.bad:
@@ -77,39 +77,52 @@
 
 
 def note_ended_request(
-    ledger: BurnCounts, subject: ObjectiveKey, now: float, spender: str
+    burn_counts: BurnCounts, objective_key: ObjectiveKey, now: float, cause: str
 ) -> None:
-    """Count one ended request; an empty spender means that it was good."""
-    buckets = ledger.buckets.setdefault(subject, deque())
-    begun = now - now % BUCKET_S
-    if not buckets or buckets[-1].begun != begun:
-        buckets.append(Bucket(begun))
-    while buckets[0].begun < now - KEPT_S:
+    """Count a request that has ended.
+
+    Args:
+        burn_counts: The entry's counts; updated.
+        objective_key: The request's workspace and class of work.
+        now: The current time, monotonic seconds.
+        cause: The cause of a bad request, empty for a good request.
+    """
+    buckets = burn_counts.buckets.setdefault(objective_key, deque())
+    start = now - now % BUCKET_S
+    if not buckets or buckets[-1].start != start:
+        buckets.append(Bucket(start))
+    while buckets[0].start < now - RETENTION_S:
         buckets.popleft()
     bucket = buckets[-1]
-    if spender:
-        bucket.bad[spender] = bucket.bad.get(spender, 0) + 1
+    if cause:
+        bucket.bad[cause] = bucket.bad.get(cause, 0) + 1
     else:
         bucket.good += 1
 
 
 def list_burn(
-    ledger: BurnCounts, now: float, objectives: dict[str, float]
+    burn_counts: BurnCounts, now: float, objectives: dict[str, float]
 ) -> list[BurnRow]:
-    """List the burn of every subject over every window."""
+    """List the burn of each workspace and class of work over each window.
+
+    Args:
+        burn_counts: The entry's counts.
+        now: The current time, monotonic seconds.
+        objectives: Share of requests that must be good, by class of work.
+    """
     rows = []
-    for subject, buckets in ledger.buckets.items():
+    for objective_key, buckets in burn_counts.buckets.items():
         for window, length in WINDOWS_S.items():
-            inside = [bucket for bucket in buckets if bucket.begun >= now - length]
+            inside = [bucket for bucket in buckets if bucket.start >= now - length]
             spenders: dict[str, int] = {}
             for bucket in inside:
                 _add_counts(spenders, bucket.bad)
             rows.append(
                 BurnRow(
-                    workspace=subject.workspace,
-                    work=subject.work,
+                    workspace=objective_key.workspace,
+                    work=objective_key.work,
                     window=window,
-                    objective=objectives.get(subject.work, 0.99),
+                    objective=objectives.get(objective_key.work, 0.99),
                     good=sum(bucket.good for bucket in inside),
                     bad=sum(spenders.values()),
                     spenders=spenders,
@@ -119,17 +132,17 @@
 
 
 def merge_burn(rows: list[BurnRow]) -> list[BurnRow]:
-    """Add up the rows of several entries."""
+    """Sum the rows of several entries by workspace, class of work and window."""
     merged: dict[tuple[str, str, str], BurnRow] = {}
     for row in rows:
-        place = (row.workspace, row.work, row.window)
-        other = merged.get(place)
+        row_key = (row.workspace, row.work, row.window)
+        other = merged.get(row_key)
         if other is None:
-            merged[place] = row
+            merged[row_key] = row
             continue
         spenders = dict(other.spenders)
         _add_counts(spenders, row.spenders)
-        merged[place] = msgspec.structs.replace(
+        merged[row_key] = msgspec.structs.replace(
             other,
             good=other.good + row.good,
             bad=other.bad + row.bad,
--- a/src/robinspindle/core/catchup.py
+++ b/src/robinspindle/core/catchup.py
@@ -1,23 +1,26 @@
-"""Records that a process keeps for peers that are cut from the log."""
+"""Catch-up from peers: recent records kept for processes that cannot reach the log."""
 
 from dataclasses import dataclass, field
 
 from robinspindle.messages import Fetch, Records
 
-RECORDS_KEPT = 1024
+MAX_RECORDS = 1024
 RECORDS_PER_MESSAGE = 128
 FETCH_DELAY_S = 0.5
+"""Time for which a peer must be ahead before it is asked for records, and time between
+two requests, seconds."""
 
 
 @dataclass
 class RecordWindow:
-    """The last records of the control stream.
+    """The most recent records of the control stream.
 
     Attributes:
-        first: Offset of the first record kept.
-        records: The records' bytes, in order without a gap.
-        asked_at: When a peer was last asked.
-        behind_since: Since when a peer is known to be ahead, None if none is.
+        first: Offset of the first record in the window.
+        records: The records' bytes, in offset order without a gap.
+        asked_at: When a peer was last asked for records, monotonic seconds.
+        behind_since: Since when a peer is known to be ahead, monotonic seconds; None if
+            none is.
     """
 
     first: int = 0
@@ -27,19 +30,19 @@
 
 
 def keep_record(window: RecordWindow, offset: int, data: bytes) -> None:
-    """Keep a record; one that leaves a gap starts the window anew."""
+    """Add a record to the window; a record after a gap replaces the whole window."""
     if offset != window.first + len(window.records):
         window.first = offset
         window.records.clear()
     window.records.append(data)
-    if len(window.records) > RECORDS_KEPT:
-        surplus = len(window.records) - RECORDS_KEPT
+    if len(window.records) > MAX_RECORDS:
+        surplus = len(window.records) - MAX_RECORDS
         del window.records[:surplus]
         window.first += surplus
 
 
 def make_records(window: RecordWindow, fetch: Fetch) -> Records | None:
-    """Answer a peer, or return None when the records are no longer kept."""
+    """Make the answer to a peer, or None if the window doesn't have the records."""
     start = fetch.after + 1 - window.first
     if start < 0 or start >= len(window.records):
         return None
@@ -48,10 +51,16 @@
 
 
 def decide_fetch(window: RecordWindow, now: float, own: int, peer: int) -> Fetch | None:
-    """Decide whether to ask a peer that says it is ahead.
+    """Decide whether to request records from a peer that reports a higher offset.
 
-    The log itself usually delivers within its round trip, so a peer is asked only
-    after some patience.
+    The log itself usually delivers records within a round trip, so a peer is asked only
+    after a delay.
+
+    Args:
+        window: The window of this process; updated.
+        now: The current time, monotonic seconds.
+        own: Offset of the last record that this process has applied.
+        peer: Offset that the peer reports.
     """
     if peer <= own:
         window.behind_since = None
--- a/src/robinspindle/core/coordination.py
+++ b/src/robinspindle/core/coordination.py
@@ -1,4 +1,7 @@
-"""What the holder of the coordinator lease does beside its own job."""
+"""Work of the coordinator, the process that holds the coordinator lease.
+
+The coordinator appends checkpoints and decides automatic role changes.
+"""
 
 from dataclasses import dataclass, field
 
@@ -9,72 +12,85 @@
 from robinspindle.messages import Report
 
 CHECKPOINT_RECORDS = 256
+"""Number of new records after which a checkpoint is due."""
+
 CHECKPOINT_S = 120.0
-ACT_PAUSE_S = 2.0
+"""Time after which a checkpoint is due if there are new records, seconds."""
+
+ROLE_CHANGE_PAUSE_S = 2.0
+"""Minimum time between two passes that append automatic role changes, seconds."""
 
 
 @dataclass
 class CoordinatorState:
-    """What a coordinator remembers.
+    """The local state of a coordinator.
 
     Attributes:
-        name: The process.
-        watch: Role changes that have been worth while.
-        covered: What the last checkpoint of this process covers.
-        checkpointed_at: When it was made.
-        acted_at: When an automatic change was last appended.
+        name: The process's name.
+        pending: Role changes that must remain the best ones for a while.
+        covered: Offset of the last record that this process's last checkpoint covers,
+            -1 for none.
+        checkpointed_at: When that checkpoint was made, monotonic seconds.
+        changed_at: When a role change was last appended, monotonic seconds.
     """
 
     name: str
-    watch: roles.PendingChanges = field(default_factory=roles.PendingChanges)
+    pending: roles.PendingChanges = field(default_factory=roles.PendingChanges)
     covered: int = -1
     checkpointed_at: float = 0.0
-    acted_at: float = -ACT_PAUSE_S
+    changed_at: float = -ROLE_CHANGE_PAUSE_S
 
 
 def decide_coordinator_records(
-    duties: CoordinatorState,
+    coordinator: CoordinatorState,
     state: State,
     reports: dict[str, Report],
     now: float,
-    wall: float,
+    wall_s: float,
     id: str,
 ) -> list[AnyRecord]:
     """Decide which records the coordinator appends now.
 
     Args:
-        duties: What it remembers; brought up to date.
-        state: The folded control stream.
-        reports: Last reports by target.
-        now: The present time, monotonic seconds.
-        wall: The present time, seconds since the epoch.
-        id: Unique id that the records' ids begin with.
+        coordinator: The coordinator's local state; updated.
+        state: The replicated state.
+        reports: The last report of each target, by the target's name.
+        now: The current time, monotonic seconds.
+        wall_s: The current wall-clock time, seconds since the Unix epoch.
+        id: Unique prefix for the records' ids.
+
+    Returns:
+        The records, none if the process doesn't hold the lease.
     """
-    if not is_holder(state.lease, duties.name):
+    if not is_holder(state.lease, coordinator.name):
         return []
     records: list[AnyRecord] = []
-    if _is_checkpoint_due(duties, state, now):
-        duties.covered = state.offset
-        duties.checkpointed_at = now
+    if _is_checkpoint_due(coordinator, state, now):
+        coordinator.covered = state.offset
+        coordinator.checkpointed_at = now
         encoded = encode_state(state)
         records.append(
             Checkpoint(id=f"{id}/checkpoint", covers=state.offset, state=encoded)
         )
-    if now - duties.acted_at < ACT_PAUSE_S:
+    if now - coordinator.changed_at < ROLE_CHANGE_PAUSE_S:
         return records
     for envelope in state.envelopes.values():
-        change = roles.decide_role_change(duties.watch, state, envelope, reports, now)
+        change = roles.decide_role_change(
+            coordinator.pending, state, envelope, reports, now
+        )
         if change is not None:
-            duties.acted_at = now
-            act_id = f"{id}/role/{change[0]}"
+            coordinator.changed_at = now
+            record_id = f"{id}/role/{change[0]}"
             records.append(
-                roles.make_role_change(state, duties.name, change, act_id, wall)
+                roles.make_role_change(
+                    state, coordinator.name, change, record_id, wall_s
+                )
             )
     return records
 
 
-def _is_checkpoint_due(duties: CoordinatorState, state: State, now: float) -> bool:
-    fresh = state.offset - max(duties.covered, state.checkpoint)
-    if fresh >= CHECKPOINT_RECORDS:
+def _is_checkpoint_due(coordinator: CoordinatorState, state: State, now: float) -> bool:
+    new_records = state.offset - max(coordinator.covered, state.checkpoint)
+    if new_records >= CHECKPOINT_RECORDS:
         return True
-    return fresh > 1 and now - duties.checkpointed_at >= CHECKPOINT_S
+    return new_records > 1 and now - coordinator.checkpointed_at >= CHECKPOINT_S
--- a/src/robinspindle/core/documents.py
+++ b/src/robinspindle/core/documents.py
@@ -1,7 +1,7 @@
-"""The configuration document: what operators publish on the log.
+"""The configuration document, which operators publish on the log.
 
-A document is INI text. Reading it is pure, so every process that sees the same
-record reaches the same verdict about it.
+A document is INI text. Parsing is pure, so all processes that read the same record
+either accept the document or reject it.
 """
 
 from dataclasses import field
@@ -18,7 +18,7 @@
 Positive = Annotated[float, Field(gt=0, le=1e9)]
 Share = Annotated[float, Field(ge=0, le=1)]
 Count = Annotated[int, Field(ge=0, le=1_000_000)]
-Words = Annotated[
+WordTuple = Annotated[
     tuple[str, ...],
     BeforeValidator(lambda value: value.split() if isinstance(value, str) else value),
 ]
@@ -30,12 +30,13 @@
 
 @dataclass(frozen=True, config=MODEL_CONFIG)
 class FleetSection:
-    """What holds for the whole deployment.
+    """Settings of the whole deployment.
 
     Attributes:
         name: The deployment's name.
-        entries: How many entry VMs share each workspace's limits.
-        subset: Most targets of one model an entry speaks to; 0 means all.
+        entries: Number of entry VMs that share each workspace's limits.
+        subset: Maximum number of targets of one model that an entry connects to; 0
+            means all.
     """
 
     name: Name
@@ -48,8 +49,8 @@
     """A model that the deployment serves.
 
     Attributes:
-        name: The model's name, as callers write it.
-        least_serving: Targets that go on serving it through any plan.
+        name: The model's name in callers' requests.
+        least_serving: Minimum number of targets that serve the model during any plan.
     """
 
     name: Name
@@ -58,17 +59,17 @@
 
 @dataclass(frozen=True, config=MODEL_CONFIG)
 class ServiceSection:
-    """A plain service beside the engines.
+    """A plain service, whose targets are no model engines.
 
     Attributes:
         name: The service's name in ``/services/<name>/``.
-        least_serving: Targets that go on serving it through any plan.
-        repeatable: HTTP methods whose calls may be repeated.
+        least_serving: Minimum number of targets that serve the service during any plan.
+        repeatable: HTTP methods whose requests may be retried.
     """
 
     name: Name
     least_serving: Count = 1
-    repeatable: Words = ("GET", "HEAD", "OPTIONS")
+    repeatable: WordTuple = ("GET", "HEAD", "OPTIONS")
 
 
 @dataclass(frozen=True, config=MODEL_CONFIG)
@@ -80,11 +81,11 @@
         zone: Its availability zone.
         agent: Address of the agent beside it, ``ip:port``.
         address: The target's own address, ``ip:port``.
-        model: The model an engine starts with, empty for a plain service.
+        model: The model that an engine starts with, empty for a plain service.
         service: The plain service's name, empty for an engine.
-        role: The role an engine starts with.
-        fencing: Whether the engine checks the fencing number of an order.
-        slots: Requests that the target works on at a time.
+        role: The role that an engine starts with.
+        fencing: Whether the engine checks the fencing token of an order.
+        slots: Number of requests that the target runs at a time.
         vm: Name of the VM in the platform's list; the target's name if empty.
     """
 
@@ -101,20 +102,21 @@
 
     @property
     def serves(self) -> str:
-        """The pool it starts in: its model's or its service's name."""
+        """The pool that the target starts in: the name of its model or service."""
         return self.model or self.service
 
 
 @dataclass(frozen=True, config=MODEL_CONFIG)
 class ClassSection:
-    """A kind of work, with what callers of it were promised.
+    """A class of work with its service-level objective.
 
     Attributes:
         name: The class's name.
-        priority: Lower goes first; alerts and pings have 0.
-        first_token_s: Promised time to the first token, seconds.
-        promised_s: Promised time to the whole answer, seconds.
-        objective: Share of requests that must keep both promises.
+        priority: The priority; a lower number is served first, and alerts and pings
+            have 0.
+        first_token_s: Latency objective for the first token, seconds.
+        promised_s: Latency objective for the whole answer, seconds.
+        objective: Share of requests that must meet both latency objectives.
         repeatable: Whether a generation may run more than once.
     """
 
@@ -132,11 +134,11 @@
 
     Attributes:
         name: The workspace's name.
-        key_digest: SHA-256 of its bearer key, in hex.
+        key_digest: SHA-256 digest of its bearer key, hexadecimal.
         work: The class of its requests.
-        requests_per_s: Most requests a second, over all entries.
-        in_flight: Most requests at a time, over all entries.
-        operator: Whether its key may state and confirm intents.
+        requests_per_s: Maximum rate of requests over all entries, per second.
+        in_flight: Maximum number of concurrent requests over all entries.
+        operator: Whether its key may submit and confirm intents.
     """
 
     name: Name
@@ -149,15 +151,17 @@
 
 @dataclass(frozen=True, config=MODEL_CONFIG)
 class PolicySection:
-    """Numbers that the decisions use.
+    """Parameters of the decisions of entries and agents.
 
     Attributes:
         routing: Name of the routing policy.
-        leaving_after_s: Silence after which a target gets no new work.
-        retry_share: Retries allowed, as a share of first tries.
-        queue_s: Longest time a request may wait at an agent.
-        zone_delay_s: One-way delay between availability zones.
-        split_s: Time of reading a prompt above which it goes to a prefill target.
+        leaving_after_s: Time without a message from a target after which it gets no new
+            requests, seconds.
+        retry_share: Maximum number of retries, as a share of first attempts.
+        queue_s: Maximum time that a request may wait at an agent, seconds.
+        zone_delay_s: One-way network delay between availability zones, seconds.
+        split_s: Estimated prefill time above which prefill runs on a prefill target,
+            seconds.
     """
 
     routing: Literal["estimate", "random", "round-robin", "least-in-flight"] = (
@@ -172,11 +176,11 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """A whole valid configuration document.
+    """A valid configuration document.
 
     Attributes:
-        fleet: What holds for the whole deployment.
-        policy: Numbers that the decisions use.
+        fleet: Settings of the whole deployment.
+        policy: Parameters of the decisions.
         models: Models by name.
         services: Plain services by name.
         targets: Targets by name.
@@ -194,11 +198,11 @@
 
     @cached_property
     def workspaces_by_key(self) -> dict[str, WorkspaceSection]:
-        """The workspaces by the digests of their keys, made at the first look-up."""
-        return {found.key_digest: found for found in self.workspaces.values()}
+        """The workspaces by the digests of their bearer keys; built on first use."""
+        return {owner.key_digest: owner for owner in self.workspaces.values()}
 
     def find_least_serving(self, pool: str) -> int:
-        """Return how many targets must go on serving a model or a service."""
+        """Return the minimum number of targets that must serve a model or a service."""
         section = self.models.get(pool) or self.services.get(pool)
         return section.least_serving if section else 0
 
@@ -215,27 +219,27 @@
 
 
 def parse_configuration(text: str, file: str = "configuration") -> Configuration:
-    """Read a configuration document.
+    """Parse and validate a configuration document.
 
     Args:
         text: The INI text.
-        file: Name used in findings.
+        file: File name used in findings.
 
     Returns:
         The configuration.
 
     Raises:
-        InvalidDocumentError: With every finding, when there is any.
+        InvalidDocumentError: If the document has findings. The error lists all of them.
     """
     document = IniDocument(file, text)
-    parts: dict[str, dict] = {PLURALS[kind]: {} for kind in NAMED_SECTIONS}
-    singles = {}
+    named_sections: dict[str, dict] = {PLURALS[kind]: {} for kind in NAMED_SECTIONS}
+    single_sections = {}
     for section in document.sections:
         kind, _, name = section.partition(" ")
         if section in SINGLE_SECTIONS:
-            singles[section] = document.build(section, SINGLE_SECTIONS[section])
+            single_sections[section] = document.build(section, SINGLE_SECTIONS[section])
         elif kind in NAMED_SECTIONS and name:
-            parts[PLURALS[kind]][name] = document.build(
+            named_sections[PLURALS[kind]][name] = document.build(
                 section, NAMED_SECTIONS[kind], name
             )
         else:
@@ -243,42 +247,42 @@
             document.add_finding(section, "", f"unknown section; known: {known}")
     if "fleet" not in document.sections:
         document.add_finding("", "", "a section [fleet] with `name` is required")
-    _check_references(document, parts)
+    _check_references(document, named_sections)
     if document.findings:
         raise InvalidDocumentError(document.findings)
-    singles.setdefault("policy", PolicySection())
-    return Configuration(**singles, **parts)
+    single_sections.setdefault("policy", PolicySection())
+    return Configuration(**single_sections, **named_sections)
 
 
-def _check_references(document: IniDocument, parts: dict[str, dict]) -> None:
+def _check_references(document: IniDocument, named_sections: dict[str, dict]) -> None:
     addresses: dict[str, str] = {}
-    for name, target in parts["targets"].items():
+    for name, target in named_sections["targets"].items():
         if target is None:
             continue
         section = f"target {name}"
         if bool(target.model) == bool(target.service):
             document.add_finding(section, "", "needs either `model` or `service`")
-        if target.model and target.model not in parts["models"]:
+        if target.model and target.model not in named_sections["models"]:
             document.add_finding(section, "model", f"no [model {target.model}]")
-        if target.service and target.service not in parts["services"]:
+        if target.service and target.service not in named_sections["services"]:
             document.add_finding(section, "service", f"no [service {target.service}]")
-        other = addresses.setdefault(target.agent, name)
-        if other != name:
-            document.add_finding(section, "agent", f"also the address of {other}")
-    _check_workspaces(document, parts)
+        other_name = addresses.setdefault(target.agent, name)
+        if other_name != name:
+            document.add_finding(section, "agent", f"also the address of {other_name}")
+    _check_workspaces(document, named_sections)
 
 
-def _check_workspaces(document: IniDocument, parts: dict[str, dict]) -> None:
+def _check_workspaces(document: IniDocument, named_sections: dict[str, dict]) -> None:
     digests: dict[str, str] = {}
-    for name, workspace in parts["workspaces"].items():
+    for name, workspace in named_sections["workspaces"].items():
         if workspace is None:
             continue
         section = f"workspace {name}"
-        if workspace.work and workspace.work not in parts["classes"]:
+        if workspace.work and workspace.work not in named_sections["classes"]:
             document.add_finding(section, "work", f"no [class {workspace.work}]")
-        other = digests.setdefault(workspace.key_digest, name)
-        if other != name:
-            document.add_finding(section, "key_digest", f"also the key of {other}")
-    for model in parts["models"]:
-        if model in parts["services"]:
+        other_name = digests.setdefault(workspace.key_digest, name)
+        if other_name != name:
+            document.add_finding(section, "key_digest", f"also the key of {other_name}")
+    for model in named_sections["models"]:
+        if model in named_sections["services"]:
             document.add_finding(f"model {model}", "", "also the name of a service")
--- a/src/robinspindle/core/ini.py
+++ b/src/robinspindle/core/ini.py
@@ -1,4 +1,4 @@
-"""Reads INI text into validated data classes and collects what is wrong."""
+"""Parses INI text into validated data classes and collects all findings."""
 
 import configparser
 import difflib
@@ -8,17 +8,17 @@
 
 from robinspindle.exceptions import Finding
 
-HEADER = re.compile(r"^\s*\[([^\]]+)\]")
-PLAIN_MESSAGES = {"missing": "is required"}
+SECTION_HEADER = re.compile(r"^\s*\[([^\]]+)\]")
+MESSAGES_BY_TYPE = {"missing": "is required"}
 
 
 class IniDocument:
     """INI text with the line of each section and key.
 
     Attributes:
-        file: Name used in findings.
-        findings: What is wrong so far.
-        sections: Section name to its keys and values.
+        file: File name used in findings.
+        findings: The findings so far.
+        sections: Keys and values of each section, by the section's header.
     """
 
     def __init__(self, file: str, text: str):
@@ -30,7 +30,7 @@
         self._read(text)
 
     def add_finding(self, section: str, key: str, text: str) -> None:
-        """Record one finding at the place of a key or a section."""
+        """Record a finding at the line of a key, or of its section."""
         line = self._lines.get((section, key)) or self._lines.get((section, ""), 0)
         self.findings.append(Finding(self.file, section, key, line, text))
 
@@ -38,14 +38,15 @@
         """Build a pydantic data class from one section.
 
         Args:
-            section: The section's full header.
+            section: The section's header, without brackets.
             cls: The data class to build.
-            name: Value for the field ``name``, where the class has one.
+            name: Value for the field ``name``, if the class has one.
 
         Returns:
-            The object, or None when the section has findings.
+            The object, or None if the section has findings.
         """
-        # Processes that only read switches keep the 10 MB that it takes.
+        # pydantic takes 10 MB of memory, so processes that only read the policy file
+        # don't import it.
         import pydantic
 
         values: dict[str, Any] = dict(self.sections.get(section, {}))
@@ -64,7 +65,7 @@
         except pydantic.ValidationError as error:
             for detail in error.errors():
                 key = str(detail["loc"][0]) if detail["loc"] else ""
-                text = PLAIN_MESSAGES.get(detail["type"], detail["msg"])
+                text = MESSAGES_BY_TYPE.get(detail["type"], detail["msg"])
                 self.add_finding(section, key, text)
             return None
         return None if unknown else built
@@ -72,7 +73,7 @@
     def _find_lines(self, text: str) -> None:
         section = ""
         for number, line in enumerate(text.splitlines(), 1):
-            header = HEADER.match(line)
+            header = SECTION_HEADER.match(line)
             if header:
                 section = header.group(1)
                 self._lines.setdefault((section, ""), number)
@@ -101,7 +102,7 @@
 
 
 def describe_unknown(word: str, known: list[str]) -> str:
-    """Say that a word is unknown, and name the nearest known one."""
-    near = difflib.get_close_matches(word, known, n=1)
-    hint = f"; did you mean `{near[0]}`?" if near else ""
+    """Make the text of a finding for an unknown word, with the closest known word."""
+    close_words = difflib.get_close_matches(word, known, n=1)
+    hint = f"; did you mean `{close_words[0]}`?" if close_words else ""
     return f"unknown{hint}"
--- a/src/robinspindle/core/leases.py
+++ b/src/robinspindle/core/leases.py
@@ -1,7 +1,8 @@
-"""The coordinator lease: when to renew it and when to ask for it.
+"""The coordinator lease: when to renew it and when to request it.
 
-The verdict needs no clock: the fold accepts a takeover only if it names the last
-renewal. The clock here only decides when a process *tries*.
+Who holds the lease doesn't depend on clocks: the replicated state machine accepts a
+takeover only if it names the last renewal. The clock only decides when a process
+appends a record.
 """
 
 import random
@@ -11,19 +12,24 @@
 from robinspindle.core.state import Lease
 
 LEASE_S = 6.0
+"""Time without a renewal after which other processes request the lease, seconds."""
+
 RENEWALS_PER_LEASE = 3
+
 MAX_JITTER_S = 2.0
+"""Maximum additional delay before a process requests the lease, seconds."""
 
 
 @dataclass
 class LeaseWatch:
-    """What one process has seen of the lease.
+    """One process's observations of the coordinator lease.
 
     Attributes:
-        name: The process.
-        seen: The lease as last seen.
-        changed_at: When it was last seen to change.
-        sent_at: When this process last sent a record about it.
+        name: The process's name.
+        seen: The lease at the last observation, None before the first.
+        changed_at: When a change of the lease was last observed, monotonic seconds.
+        sent_at: When this process last appended a record about the lease, monotonic
+            seconds.
     """
 
     name: str
@@ -32,27 +38,27 @@
     sent_at: float = -LEASE_S
 
     def observe(self, now: float, lease: Lease) -> None:
-        """Take note of the folded lease."""
+        """Record the lease of the replicated state."""
         if lease != self.seen:
             self.seen = lease
             self.changed_at = now
 
 
 def is_holder(lease: Lease, name: str) -> bool:
-    """Whether a process holds the lease as far as it has folded."""
+    """Whether a process holds the lease according to its replicated state."""
     return bool(name) and lease.holder == name
 
 
 def decide_lease(
     watch: LeaseWatch, now: float, id: str, rng: random.Random
 ) -> Renewal | Takeover | None:
-    """Decide whether to append something about the lease.
+    """Decide whether to append a renewal or a takeover of the lease.
 
     Args:
-        watch: What this process has seen.
-        now: The present time, monotonic seconds.
+        watch: This process's observations; updated.
+        now: The current time, monotonic seconds.
         id: Id for the record.
-        rng: Source of the jitter that keeps challengers apart.
+        rng: Source of the jitter that prevents simultaneous takeovers.
 
     Returns:
         The record to append, or None.
@@ -65,9 +71,9 @@
             return None
         watch.sent_at = now
         return Renewal(id=id, holder=watch.name, fence=lease.fence)
-    patience = LEASE_S if lease.holder else 0.0
-    quiet = min(now - watch.changed_at, now - watch.sent_at)
-    if quiet < patience + rng.uniform(0.0, MAX_JITTER_S):
+    timeout_s = LEASE_S if lease.holder else 0.0
+    unchanged_s = min(now - watch.changed_at, now - watch.sent_at)
+    if unchanged_s < timeout_s + rng.uniform(0.0, MAX_JITTER_S):
         return None
     watch.sent_at = now
     return Takeover(id=id, holder=watch.name, after=lease.renewed)
--- a/src/robinspindle/core/orders.py
+++ b/src/robinspindle/core/orders.py
@@ -1,4 +1,8 @@
-"""Orders at a target's agent: after the drain, one at a time, each with its number."""
+"""Execution of orders at a target's agent.
+
+The agent sends orders to the engine one at a time, each with its fencing token, after
+the target's last request has ended.
+"""
 
 from dataclasses import dataclass
 
@@ -7,24 +11,28 @@
 from robinspindle.core.state import Target
 
 RESEND_S = 2.0
+"""Time after which a record is appended again if the log doesn't have it, seconds."""
+
 ORDER_RETRY_S = 1.0
+"""Time before an order of unknown outcome is tried again, seconds."""
 
 
 @dataclass
 class Executor:
-    """What an agent is doing about orders.
+    """The state of an agent's order execution.
 
     Attributes:
         target: The target's name.
-        incarnation: Name of this run of the agent.
-        found: The engine as last asked, None before the first answer.
-        busy: Whether the engine was in the middle of a change then.
-        boot: Name of the engine's run, as last asked.
-        announced: Boots of the engine that were announced in the log.
-        active_order: Number of the order that the engine is carrying out, -1 for none.
-        ended: The outcome that is waiting to be seen in the log.
-        sent_at: When a record was last appended.
-        retry_at: When the engine may be tried again.
+        incarnation: Unique name of this run of the agent.
+        found: The engine's state at the last query, None before the first answer.
+        busy: Whether the engine was executing a change at that time.
+        boot: Unique name of the engine's run at the last query.
+        announced: The run of the engine that the log has, None before the agent's own
+            start is in the log.
+        active_order: Number of the order that the engine is executing, -1 for none.
+        ended: The outcome that was appended and is not in the log yet, None for none.
+        sent_at: When a record was last appended, monotonic seconds.
+        retry_at: When an order may be sent to the engine again, monotonic seconds.
     """
 
     target: str
@@ -42,22 +50,25 @@
 def decide_orders(
     executor: Executor, target: Target | None, now: float, is_idle: bool
 ) -> list[Effect]:
-    """Decide the next thing to do about orders.
+    """Decide the next effects of order execution.
 
     Args:
-        executor: What the agent is doing; brought up to date.
-        target: The folded state of the target.
-        now: The present time, monotonic seconds.
-        is_idle: Whether nothing runs or waits at the target.
+        executor: The agent's order execution; updated.
+        target: The replicated state of the target, None if it is not configured.
+        now: The current time, monotonic seconds.
+        is_idle: Whether no request runs or waits at the target.
+
+    Returns:
+        A record to append or an order to send to the engine, or nothing.
     """
     if target is None or executor.found is None:
         return []
     if target.incarnation != executor.incarnation:
-        return _announce(executor, now)
+        return _announce_engine(executor, now)
     if executor.announced is None:
         executor.announced = executor.boot
-    if _has_crashed(executor, target):
-        return _announce(executor, now)
+    if _has_changed_by_restart(executor, target):
+        return _announce_engine(executor, now)
     if _was_superseded(executor, target):
         executor.ended = None
     if executor.ended is not None:
@@ -67,7 +78,7 @@
         return []
     if now < executor.retry_at:
         return []
-    if _is_settled(order.step, executor.found, target):
+    if _has_effect(order.step, executor.found, target):
         return end_order(executor, target, order.number, now, "")
     executor.active_order = order.number
     return [GiveOrder(order.number, max(order.number, target.epoch), order.step)]
@@ -76,7 +87,15 @@
 def end_order(
     executor: Executor, target: Target, number: int, now: float, reason: str
 ) -> list[Effect]:
-    """Report how an order ended; an empty reason means that it took effect."""
+    """Report the outcome of an order in the log.
+
+    Args:
+        executor: The agent's order execution; updated.
+        target: The replicated state of the target.
+        number: The order's number.
+        now: The current time, monotonic seconds.
+        reason: Why the order had no effect, empty if it took effect.
+    """
     executor.active_order = -1
     executor.ended = OrderEnded(
         id=f"ended/{executor.incarnation}/{number}",
@@ -91,13 +110,13 @@
 
 
 def postpone_order(executor: Executor, now: float) -> None:
-    """Try the order again later: whether it took effect is not known."""
+    """Query the engine and retry the order later, because its outcome is unknown."""
     executor.active_order = -1
     executor.found = None
     executor.retry_at = now + ORDER_RETRY_S
 
 
-def _announce(executor: Executor, now: float) -> list[Effect]:
+def _announce_engine(executor: Executor, now: float) -> list[Effect]:
     record = AgentStarted(
         id=f"started/{executor.incarnation}/{executor.boot}",
         target=executor.target,
@@ -107,13 +126,16 @@
     return _append(executor, now, record)
 
 
-def _has_crashed(executor: Executor, target: Target) -> bool:
-    """Whether the engine came up anew as something else than the log says."""
+def _has_changed_by_restart(executor: Executor, target: Target) -> bool:
+    """Whether the engine restarted with another state than the log has.
+
+    A restart with the same state needs no record and is only noted.
+    """
     if executor.boot == executor.announced or target.order is not None:
         return False
     found = executor.found
-    known = (target.role, target.pool, target.adapters, target.version)
-    if not found.model or known == (
+    logged = (target.role, target.pool, target.adapters, target.version)
+    if not found.model or logged == (
         found.role,
         found.model,
         found.adapters,
@@ -138,8 +160,8 @@
     return target.order is None or target.order.number != ended.order
 
 
-def _is_settled(step: Step, found: ObservedEngine, target: Target) -> bool:
-    """Whether the engine already is what the order asks for."""
+def _has_effect(step: Step, found: ObservedEngine, target: Target) -> bool:
+    """Whether the engine already has the state that the order asks for."""
     if step.action in ("drain", "undrain"):
         return True
     if step.action == "role":
