--- a/tests/core/test_rebalancing.py
+++ b/tests/core/test_rebalancing.py
@@ -91,14 +91,14 @@
 
 
 @pytest.mark.parametrize(
-    ("prefill_load", "changed"), [(3.0, 2), (17.0, 2), (20.0, 1), (40.0, 0)]
+    ("rate", "turned"), [(3.0, 2), (17.0, 2), (20.0, 1), (40.0, 0)]
 )
-def test_bursts_of_prompts_and_of_answers_share_the_engines(prefill_load, changed):
+def test_bursts_of_prompts_and_of_answers_share_the_engines(rate, turned):
     fleet = make_fleet(17, 6, long_answers=40)
     change = decide_role_change(
-        fleet, prefill_load, RoleChangeHistory(90.0, PREFILL_ROLE), 100.0, SWITCH_S
+        fleet, rate, RoleChangeHistory(90.0, PREFILL_ROLE), 100.0, SWITCH_S
     )
-    assert (len(change.targets) if change else 0) == changed
+    assert (len(change.targets) if change else 0) == turned
 
 
 @pytest.mark.parametrize(
