--- a/src/robinspindle/core/authority.py
+++ b/src/robinspindle/core/authority.py
@@ -39,12 +39,12 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """A claim of this gateway that was accepted.
+    """A lease claim of this gateway that the store accepted.
 
     Attributes:
         fence: The claim's fencing token.
         sent_at: When the claim was sent, monotonic seconds.
-        era: The era of the store that accepted the claim.
+        era: The store era in which the claim was accepted.
     """
 
     fence: int
@@ -68,7 +68,7 @@
 
 
 def note_claim(authority: Authority, now: float, holder: str) -> None:
-    """Record a claim that was read from the log."""
+    """Record a lease claim that was read from the log."""
     is_lost = authority.holder == UNKNOWN_HOLDER and _may_be_in_use(authority, now)
     # The last claim in the backup may be older than the one that it lacks.
     authority.holder = UNKNOWN_HOLDER if is_lost else holder
@@ -76,7 +76,7 @@
 
 
 def may_claim(authority: Authority, now: float) -> bool:
-    """Whether this gateway may try to append a claim."""
+    """Whether this gateway may try to append a lease claim."""
     if authority.end is None:
         return False
     if authority.holder in ("", authority.name):
@@ -90,7 +90,7 @@
 
 
 def may_use(authority: Authority, claim: Claim, now: float) -> bool:
-    """Whether this gateway may still send an order under a claim."""
+    """Whether this gateway may still send an order under a lease claim."""
     if claim.era != authority.era:
         return False
     return now - claim.sent_at < CLAIM_USE_LEASES * authority.lease_s
--- a/src/robinspindle/core/orders.py
+++ b/src/robinspindle/core/orders.py
@@ -27,7 +27,7 @@
         found: The engine's state at the last query, None before the first answer.
         busy: Whether the engine was executing a change at that time.
         boot: Unique name of the engine's run at the last query.
-        announced: The run of the engine that the log has, None before the agent's own
+        announced: The run of the engine whose state the log has, None before the agent's own
             start is in the log.
         active_order: Number of the order that the engine is executing, -1 for none.
         ended: The outcome that was appended and is not in the log yet, None for none.
@@ -129,7 +129,7 @@
 def _has_changed_by_restart(executor: Executor, target: Target) -> bool:
     """Whether the engine restarted with another state than the log has.
 
-    A restart with the same state needs no record and is only noted.
+    A restart with the same state needs no record and only updates `announced`.
     """
     if executor.boot == executor.announced or target.order is not None:
         return False
--- a/src/robinspindle/core/scaling.py
+++ b/src/robinspindle/core/scaling.py
@@ -29,13 +29,13 @@
     """The operator's bounds for the number of a service's targets in each zone.
 
     Attributes:
-        least: Minimum number of targets.
-        most: Maximum number of targets.
+        min_targets: Minimum number of targets.
+        max_targets: Maximum number of targets.
         start_s: Time until a new target serves, seconds.
     """
 
-    least: int
-    most: int
+    min_targets: int
+    max_targets: int
     start_s: float
 
 
@@ -97,7 +97,7 @@
     )
     busy = last.busy + rise_per_s * bounds.start_s
     needed = math.ceil(busy / (slots * PLANNED_UTILIZATION)) + SPARE_TARGETS
-    return min(bounds.most, max(bounds.least, needed))
+    return min(bounds.max_targets, max(bounds.min_targets, needed))
 
 
 def decide_desired(
@@ -114,7 +114,7 @@
     """
     needed = find_needed(demand, slots, bounds)
     desired = demand.desired if demand.desired is not None else present
-    desired = min(bounds.most, max(bounds.least, desired))
+    desired = min(bounds.max_targets, max(bounds.min_targets, desired))
     if needed >= desired:
         demand.fewer_since = None
         return needed
--- a/tests/core/test_scaling.py
+++ b/tests/core/test_scaling.py
@@ -24,7 +24,7 @@
     def __init__(self, bounds=BOUNDS, loss=0.0, late_s=0.0, seed=1):
         self.bounds, self.loss, self.late_s = bounds, loss, late_s
         self.rng = random.Random(seed)
-        self.now, self.present = 0.0, bounds.least
+        self.now, self.present = 0.0, bounds.min_targets
         self.demand = ZoneDemand()
         self.orders, self.pending = [], []
         self.overloaded_s = 0.0
@@ -40,7 +40,7 @@
             wanted = decide_desired(
                 self.demand, self.now, SLOTS, self.present, self.bounds
             )
-            assert self.bounds.least <= wanted <= self.bounds.most
+            assert self.bounds.min_targets <= wanted <= self.bounds.max_targets
             if wanted != self.demand.desired:
                 self._order(wanted)
 
@@ -69,7 +69,7 @@
     simulation = Simulation()
     simulation.run(10, lambda now: 5.0)
     simulation.run(5, lambda now: 70.0)
-    assert simulation.present == BOUNDS.most
+    assert simulation.present == BOUNDS.max_targets
 
 
 def test_targets_are_removed_slowly_and_one_at_a_time():
@@ -79,7 +79,7 @@
     simulation.run(15, lambda now: 5.0)
     assert simulation.present == high
     simulation.run(600, lambda now: 5.0)
-    assert simulation.present == BOUNDS.least
+    assert simulation.present == BOUNDS.min_targets
     falls = [
         b - a for a, b in zip(simulation.orders, simulation.orders[1:], strict=False)
     ]
