--- a/src/robinspindle/core/orders.py
+++ b/src/robinspindle/core/orders.py
@@ -27,8 +27,8 @@
         found: The engine's state at the last query, None before the first answer.
         busy: Whether the engine was executing a change at that time.
         boot: Unique name of the engine's run at the last query.
-        announced: The run of the engine whose state the log has, None before the agent's own
-            start is in the log.
+        announced: The run of the engine whose state the log has, None before the
+            agent's own start is in the log.
         active_order: Number of the order that the engine is executing, -1 for none.
         ended: The outcome that was appended and is not in the log yet, None for none.
         sent_at: When a record was last appended, monotonic seconds.
