--- a/fuzz/gatewaymutants.py
+++ b/fuzz/gatewaymutants.py
@@ -26,8 +26,10 @@
     Mutant("go back to any version", routes, "is_newer", lambda r: lambda *_: True),
     Mutant("take a notice back", targets, "note_announced", _announce_as_told),
     Mutant("ignore starts", targets, "is_later", lambda r: lambda *_: False),
-    Mutant("keep lives that are over", targets, "end_earlier_lives", _end_no_life),
-    Mutant("believe what is over", targets, "is_outlived", lambda r: lambda *_: False),
+    Mutant("keep lives that are over", targets, "end_earlier_lifetimes", _end_no_life),
+    Mutant(
+        "believe what is over", targets, "is_superseded", lambda r: lambda *_: False
+    ),
     Mutant(
         "use garbage for a target",
         targets,
--- a/fuzz/gatewayworld.py
+++ b/fuzz/gatewayworld.py
@@ -12,7 +12,7 @@
 from robinspindle.core import authority, budgets, forwarding, health, routes, targets
 from robinspindle.core.authority import Authority, Claim
 from robinspindle.core.budgets import RepeatBudget
-from robinspindle.core.lives import find_born_ms, find_id, make_lifetime
+from robinspindle.core.lifetimes import find_id, find_start_ms, make_lifetime
 from robinspindle.core.routes import Route, RouteTable
 from robinspindle.core.targets import Announcement, Directory
 
@@ -190,7 +190,7 @@
             name=name,
             offset_s=1000.0 * number,
             authority=Authority(name, LEASE_S),
-            directory=Directory(hold_s=HOLD_S),
+            directory=Directory(missing_grace_s=HOLD_S),
             budget=RepeatBudget(RATIO, SLACK / SHARES, WINDOW_S),
         )
         world.gateways.append(view)
@@ -205,9 +205,9 @@
     """Let a gateway read all that it lacks, unless it is cut."""
     now = world.now + view.offset_s
     if view.is_cut:
-        targets.note_store_away(view.directory, now)
+        targets.note_store_unavailable(view.directory, now)
         return
-    targets.note_store_back(view.directory, now)
+    targets.note_store_recovered(view.directory, now)
     for holder in _take_unread(view, "claims", world.claims):
         authority.note_claim(view.authority, now, holder)
     view.authority.end = len(world.claims)
@@ -222,7 +222,7 @@
         elif entry is None:
             if targets.note_missing(view.directory, now, id):
                 view.missing_at[id] = world.now
-        elif not targets.take_announced(view.directory, entry, now).is_outlived:
+        elif not targets.apply_announcement(view.directory, entry, now).is_superseded:
             view.missing_at.pop(id, None)
 
 
@@ -347,14 +347,14 @@
     entries = world.entries[: view.read.get("entries", 0)]
     known = [entry for name, entry in entries if name == id]
     told = [entry for entry in known if isinstance(entry, Announcement)]
-    newest_ms = max(find_born_ms(entry.lifetime) for entry in told)
+    newest_ms = max(find_start_ms(entry.lifetime) for entry in told)
     sent = Sent(
         at=world.now,
         gateway=view.name,
         target=lifetime,
         is_leaving=any(e.leaving for e in told if e.lifetime == lifetime),
         missing_since=view.missing_at.get(id),
-        is_over=find_born_ms(lifetime) < newest_ms,
+        is_over=find_start_ms(lifetime) < newest_ms,
         is_unreadable=known[-1] == GARBAGE,
     )
     world.sendings.append(sent)
--- a/fuzz/keymutants.py
+++ b/fuzz/keymutants.py
@@ -74,7 +74,7 @@
     Mutant("trust for ever", freshness, "note_read", _trust_for_ever),
     Mutant("tell no age", peerfacts.PeerFacts, "_describe_checked", _tell_no_age),
     Mutant("ages by wall clock", peerfacts.PeerFacts, "_take_checked", _count_by_wall),
-    Mutant("look at a key once", permits, "is_taken_away", lambda r: lambda *_: False),
+    Mutant("look at a key once", permits, "is_revoked", lambda r: lambda *_: False),
     Mutant("deny whatever the age", permits, "may_deny", lambda r: lambda *_: True),
     Mutant("know no key", permits, "find_owner", lambda r: lambda *_: None),
 )
--- a/fuzz/keyworld.py
+++ b/fuzz/keyworld.py
@@ -203,13 +203,13 @@
             "r", "GET", b"/", "h", (), b"", None, now, None, b"", b"%d" % key
         )
         route = self.table.routes["h"][0]
-        permit = permits.find_permit(self.table, route, request, self.freshness, now)
+        permit = permits.authorize(self.table, route, request, self.freshness, now)
         if isinstance(permit, Refusal):
             self._judge_refusal(permit, key, sent_at)
             return
         await asyncio.sleep(world.rng.choice((0.0, 0.02, 0.5, 3.0)))
         await self.wait_while_frozen()
-        if permits.is_taken_away(self.table, permit):
+        if permits.is_revoked(self.table, permit):
             return
         self._judge_run(key, sent_at)
 
--- a/soak/sizesworld.py
+++ b/soak/sizesworld.py
@@ -96,7 +96,7 @@
             "PathPrefix": f"/{kind.name}/",
             "Kind": "stream",
             "TimeoutMs": DUE_S * 1000,
-            "TargetLatencyMs": kind.aim_s * 1000,
+            "TargetLatencyMs": kind.latency_objective_s * 1000,
             "TargetGapMs": 200,
             "Priority": kind.rank,
             "Service": "lm",
--- a/src/robinspindle/beliefs.py
+++ b/src/robinspindle/beliefs.py
@@ -100,9 +100,11 @@
             apply=self._apply_target,
             note_away=self._note_away,
             note_back=self._note_back,
-            rest_s=lambda: self.fleet.directory.hold_s,
+            rest_s=lambda: self.fleet.directory.missing_grace_s,
             wait_s=self._find_wait_s,
-            note_newest=lambda sent_at: targets.note_copy_read(self.fleet.directory),
+            note_newest=lambda sent_at: targets.note_restored_list_read(
+                self.fleet.directory
+            ),
         )
 
     def _follow_peers(self) -> Follower:
@@ -224,8 +226,8 @@
         except BadDocumentError as error:
             self._note_unusable(key, str(error))
             return
-        taken = targets.take_announced(directory, announced, now)
-        if taken.is_outlived:
+        taken = targets.apply_announcement(directory, announced, now)
+        if taken.is_superseded:
             self._note_unusable(key, "its start went back", is_current=False)
             return
         self.entries.forget(key)
@@ -259,7 +261,7 @@
         Its answers can't come any more. Waiting until silence was noticed would take
         0.6 s and more of the callers' time, and all of it for what may not run again.
         """
-        ends = silence.list_ends(target.hearing)
+        ends = silence.list_end_callbacks(target.liveness)
         self.log(
             "target started again",
             target=later,
@@ -271,11 +273,11 @@
         self.guard.runs.note_life_over(target)
 
     def _note_away(self) -> None:
-        if targets.note_store_away(self.fleet.directory, self.clock()):
+        if targets.note_store_unavailable(self.fleet.directory, self.clock()):
             self.log("store lost")
 
     def _note_back(self) -> None:
         self.fleet.directory.known = True
         self.fleet.directory.read_at = self.clock()
-        if targets.note_store_back(self.fleet.directory, self.clock()):
+        if targets.note_store_recovered(self.fleet.directory, self.clock()):
             self.log("store regained")
--- a/src/robinspindle/cachelists.py
+++ b/src/robinspindle/cachelists.py
@@ -12,7 +12,7 @@
 
 from robinspindle.calls import CallLimits, call_once
 from robinspindle.core.authority import has_lowest_name
-from robinspindle.core.engines import Engine, note_held
+from robinspindle.core.engines import Engine, note_earlier_cache
 from robinspindle.core.forwarding import Part
 from robinspindle.core.targets import Target
 from robinspindle.exceptions import BadDocumentError
@@ -85,7 +85,7 @@
             # The belief stays empty; placements fill it.
             self._log("cache not listed", target=lifetime, error=str(error))
             return
-        note_held(engine, parts)
+        note_earlier_cache(engine, parts)
         self._log("cache listed", target=lifetime, parts=len(parts))
 
     async def _fetch(self, target: Target) -> list[Part]:
--- a/src/robinspindle/choosing.py
+++ b/src/robinspindle/choosing.py
@@ -7,7 +7,7 @@
 from robinspindle.core import budgets, hosting, reading, turns
 from robinspindle.core.engines import Engine
 from robinspindle.core.forwarding import Prompt, Request
-from robinspindle.core.paces import estimate_busy_s
+from robinspindle.core.prefillmodel import estimate_busy_s
 from robinspindle.core.reading import Plan
 from robinspindle.core.rebalancing import (
     PrefillDemand,
@@ -93,7 +93,7 @@
         if prompt is None or any(engine is None for _, engine in pairs):
             return self._choose_plainly(pairs, now)
         if passage.reads and not self._may_read_again(passage, now):
-            pairs = [pair for pair in pairs if not pair[1].reads_only]
+            pairs = [pair for pair in pairs if not pair[1].prefill_only]
         at = self._describe_situation(passage, now)
         plan = reading.choose_plan(pairs, prompt, at)
         if plan is not None and passage.plan is None and plan.unread:
@@ -170,7 +170,7 @@
 
     def _note_demand(self, passage: Passage, plan: Plan, now: float) -> None:
         context = passage.request.prompt.tokens - plan.unread
-        pace = self._means.fleet.find_pace(passage.service, reads_only=True)
+        pace = self._means.fleet.find_pace(passage.service, prefill_only=True)
         seconds = estimate_busy_s(pace, plan.unread, context)
         demand = self.demands.setdefault(passage.service, PrefillDemand())
         note_prefill_demand(demand, now, seconds)
@@ -182,7 +182,7 @@
         plain = [
             target
             for target, engine in pairs
-            if engine is None or not engine.reads_only
+            if engine is None or not engine.prefill_only
         ]
         if not plain:
             return None
@@ -190,7 +190,7 @@
             target=choose_target(plain, self._means.zone, now, self._rng),
             reader=None,
             unread=0,
-            reading_s=0.0,
+            prefill_s=0.0,
             wait_s=0.0,
             first_s=0.0,
             cost_s=0.0,
@@ -218,7 +218,7 @@
         return reading.Situation(
             now=now,
             left_s=passage.aim_at - now,
-            aim_s=passage.route.aim_s,
+            latency_objective_s=passage.route.latency_objective_s,
             gap_s=passage.route.gap_s,
             zone=self._means.zone,
             rank=passage.rank,
@@ -226,7 +226,7 @@
             has_exposed=self._means.lengths.has_exposed(passage.service),
             begin_s=self._means.lengths.find_begin_s(passage.service, now),
             late_begin_s=self._means.lengths.find_begin_s(passage.service, now, True),
-            move_s=self._means.fleet.find_move_s(passage.service),
+            token_transfer_s=self._means.fleet.find_token_transfer_s(passage.service),
             age_s=self._means.peers.interval_s,
             rng=self._rng,
             policy=self._means.policy(),
--- a/src/robinspindle/clocks.py
+++ b/src/robinspindle/clocks.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable
 
-from robinspindle.core.pauses import Clocks, Pause, find_pause
+from robinspindle.core.pauses import ClockReadings, Pause, detect_pause
 
 
 def read_steady() -> float:
@@ -17,9 +17,9 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def read_clocks() -> Clocks:
+def read_clocks() -> ClockReadings:
     """Read the clock that counts suspension, and the one that does not."""
-    return Clocks(read_steady(), time.monotonic())
+    return ClockReadings(read_steady(), time.monotonic())
 
 
 class PauseWatch:
@@ -29,17 +29,17 @@
         note: Told each pause, on the event loop.
     """
 
-    def __init__(self, read: Callable[[], Clocks] = read_clocks):
+    def __init__(self, read: Callable[[], ClockReadings] = read_clocks):
         self.note: Callable[[Pause], None] = lambda pause: None
         self._read = read
-        self._before: Clocks | None = None
+        self._before: ClockReadings | None = None
 
     def begin_wait(self) -> None:
         """Look at the clocks before the loop waits."""
         now = self._read()
         if self._before is not None:
             # What was suspended while the loop was at work counts too.
-            self._tell(find_pause(self._before, now, None))
+            self._tell(detect_pause(self._before, now, None))
         self._before = now
 
     def end_wait(self, asked_s: float | None) -> None:
@@ -51,7 +51,7 @@
         now = self._read()
         before, self._before = self._before, now
         if before is not None:
-            self._tell(find_pause(before, now, asked_s))
+            self._tell(detect_pause(before, now, asked_s))
 
     def _tell(self, pause: Pause | None) -> None:
         if pause is not None:
--- a/src/robinspindle/core/answering.py
+++ b/src/robinspindle/core/answering.py
@@ -4,7 +4,7 @@
 prompt between them. How much it may read follows the pauses that its answers show.
 """
 
-from robinspindle.core.engines import SHORT_READ_SHARE, Engine, sum_recent
+from robinspindle.core.engines import SHORT_PREFILL_SHARE, Engine, sum_recent_prefill_s
 from robinspindle.core.forwarding import Prompt
 
 PAUSE_SHARE = 0.7
@@ -51,9 +51,9 @@
 
 def note_hold(engine: Engine, seconds: float) -> None:
     """Take note of how long an answer held its slot at an engine, seconds."""
-    if engine.hold_s == 0.0:
-        engine.hold_s = seconds
-    engine.hold_s += HOLD_SMOOTHING * (seconds - engine.hold_s)
+    if engine.slot_hold_s == 0.0:
+        engine.slot_hold_s = seconds
+    engine.slot_hold_s += HOLD_SMOOTHING * (seconds - engine.slot_hold_s)
 
 
 def find_open_pause(engine: Engine, now: float) -> float:
@@ -81,7 +81,7 @@
 def note_pause(engine: Engine, pause_s: float, allowed_s: float) -> None:
     """Take note of a pause between two events of a long answer."""
     most = READ_SHARES[1]
-    engine.read_share = _adapt_share(engine.read_share, pause_s, allowed_s, most)
+    engine.prefill_share = _adapt_share(engine.prefill_share, pause_s, allowed_s, most)
 
 
 def note_short_pause(engine: Engine, pause_s: float, allowed_s: float) -> None:
@@ -90,8 +90,10 @@
     What is read beside short answers slows them as it does long ones; with a fixed
     share of their gaps, the more answers an engine generates the more of them pause.
     """
-    share = engine.short_read_share
-    engine.short_read_share = _adapt_share(share, pause_s, allowed_s, SHORT_READ_SHARE)
+    share = engine.short_prefill_share
+    engine.short_prefill_share = _adapt_share(
+        share, pause_s, allowed_s, SHORT_PREFILL_SHARE
+    )
 
 
 def _adapt_share(share: float, pause_s: float, allowed_s: float, most: float) -> float:
@@ -120,19 +122,19 @@
 
 def find_read_share(engine: Engine) -> float:
     """Find what share of its pace an engine may read with beside its answers."""
-    return engine.read_share if engine.long_answers else engine.short_read_share
+    return engine.prefill_share if engine.long_answers else engine.short_prefill_share
 
 
-def may_read_beside(engine: Engine, now: float, reading_s: float, gap_s: float) -> bool:
+def may_read_beside(engine: Engine, now: float, prefill_s: float, gap_s: float) -> bool:
     """Whether an engine may read a prompt beside the answers it generates.
 
     Args:
         engine: The engine.
         now: The present time, steady seconds.
-        reading_s: How long it would read, seconds.
+        prefill_s: How long it would read, seconds.
         gap_s: The longest pause that the answers may have, seconds.
     """
     if find_open_pause(engine, now) > PAUSE_SHARE * gap_s:
         return False
     most_s = find_read_share(engine) * gap_s
-    return sum_recent(engine, now, gap_s) + reading_s <= most_s
+    return sum_recent_prefill_s(engine, now, gap_s) + prefill_s <= most_s
--- a/src/robinspindle/core/digests.py
+++ b/src/robinspindle/core/digests.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from robinspindle.core.crashnews import RequestNews, join_news
-from robinspindle.core.paces import add_sums
+from robinspindle.core.prefillmodel import add_fit_sums
 from robinspindle.core.sharing import Digest, Learnt, Load
 
 MOST_GROUP_PLACEMENTS = 96
@@ -74,7 +74,7 @@
     """Take what one entry told out of the sum that is sent to it."""
     own_loads = {load.lifetime: load for load in one.loads}
     own_placements = {id(placement) for placement in one.placements}
-    own_learnt = {(told.service, told.reads_only): told for told in one.learnt}
+    own_learnt = {(told.service, told.prefill_only): told for told in one.learnt}
     return msgspec.structs.replace(
         total,
         loads=[_subtract(load, own_loads.get(load.lifetime)) for load in total.loads],
@@ -84,7 +84,7 @@
             for service, rate in total.read_rates.items()
         },
         learnt=[
-            _unlearn(told, own_learnt.get((told.service, told.reads_only)))
+            _unlearn(told, own_learnt.get((told.service, told.prefill_only)))
             for told in total.learnt
         ],
     )
@@ -138,9 +138,9 @@
     found: dict[tuple[str, bool], Learnt] = {}
     for digest in digests:
         for told in digest.learnt:
-            key = (told.service, told.reads_only)
+            key = (told.service, told.prefill_only)
             known = found.get(key)
-            sums = told.sums if known is None else add_sums(known.sums, told.sums)
+            sums = told.sums if known is None else add_fit_sums(known.sums, told.sums)
             found[key] = Learnt(*key, sums)
     return list(found.values())
 
@@ -148,8 +148,8 @@
 def _unlearn(total: Learnt, one: Learnt | None) -> Learnt:
     if one is None:
         return total
-    sums = add_sums(total.sums, one.sums, -1.0)
-    return Learnt(total.service, total.reads_only, sums)
+    sums = add_fit_sums(total.sums, one.sums, -1.0)
+    return Learnt(total.service, total.prefill_only, sums)
 
 
 def _find_ends(digests: list[Digest]) -> dict[str, int]:
--- a/src/robinspindle/core/dispatch.py
+++ b/src/robinspindle/core/dispatch.py
@@ -191,7 +191,7 @@
         return
     held_s = now - before
     for evidence in entry.evidence.values():
-        membership.note_hold_up(evidence, now, held_s)
+        membership.note_process_pause(evidence, now, held_s)
     for flight in entry.flights.values():
         flight.since = min(now, flight.since + held_s)
         flight.event_at = min(now, flight.event_at + held_s)
@@ -209,9 +209,9 @@
     for name in peers:
         evidence = entry.evidence.setdefault(name, membership.Evidence())
         period_s = HELLO_S if entry.sent.get(name) else min(idle_s, MOST_HELLO_S)
-        if now - evidence.greeted_at < period_s:
+        if now - evidence.hello_sent_at < period_s:
             continue
-        evidence.greeted_at = now
+        evidence.hello_sent_at = now
         version = evidence.prefix_version
         hello = Hello(offset=entry.state.offset, prefix_version=version)
         effects.append(Send(name, hello))
--- a/src/robinspindle/core/engines.py
+++ b/src/robinspindle/core/engines.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from robinspindle.core import paces
+from robinspindle.core import prefillmodel
 from robinspindle.core.forwarding import Part, Prompt
-from robinspindle.core.paces import Measured, Pace
+from robinspindle.core.prefillmodel import PrefillModel, PrefillSample
 from robinspindle.core.urgency import LATE, make_levels
 
 SLOWNESS_SMOOTHING = 0.2
@@ -36,11 +36,11 @@
 runs."""
 
 
-SHORT_READ_SHARE = 0.6
+SHORT_PREFILL_SHARE = 0.6
 """Share of a gap in which an engine may read beside answers that are short: the rest is
 for the steps that make the next event, about a fifth of a gap on today's engines."""
 
-RECENT_S = 1.0
+RECENT_WINDOW_S = 1.0
 """How long a reading that was placed is remembered, seconds: several gaps and as many
 readings, so that the share of time that work in time takes can be told."""
 
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class Begun:
+class PrefillStart:
     """A reading that was placed at an engine.
 
     Attributes:
@@ -68,61 +68,63 @@
     """One engine as one entry believes it to be.
 
     Attributes:
-        reads_only: Whether it only reads prompts and generates nothing.
+        prefill_only: Whether it only reads prompts and generates nothing.
         cache_tokens: Tokens that its memory holds.
-        pace: How fast engines of its service read in its role; shared by all of them.
+        prefill_model: How fast engines of its service read in its role; shared by all
+            of them.
         slowness: How many times longer than that this one takes.
         cached: Parts in its cache, by id, with their tokens; oldest first.
         cached_tokens: Their sum.
         ready_at: From when parts that are being read may be fetched, steady seconds.
         is_cache_known: Whether it was told what the cache held before this entry began.
-        own_work_s: Seconds of reading that this entry sent and that is not done, by
+        own_backlog_s: Seconds of reading that this entry sent and that is not done, by
             level.
-        peers_work_s: The same of the other entries, by name; see `note_peer_work`.
-        peers_sum_s: Its sum over them, by level.
+        peer_backlogs_s: The same of the other entries, by name; see
+            `note_peer_backlog`.
+        peers_backlog_s: Its sum over them, by level.
         peers_in_flight: Requests of the other entries there, by name.
-        hold_s: How long an answer holds its slot there, seconds; 0 for not known.
-        own_long: Long answers of this entry that it generates.
-        peers_long: The same of the other entries, by name.
-        recent: Readings that were lately placed there.
+        slot_hold_s: How long an answer holds its slot there, seconds; 0 for not known.
+        own_long_answers: Long answers of this entry that it generates.
+        peers_long_answers: The same of the other entries, by name.
+        recent_prefills: Readings that were lately placed there.
         placed: How many prompts were placed there by all entries.
         event_s: Seconds from event to event of its long answers, as this entry saw.
         event_at: When that was last seen, steady seconds.
         own_answers: Answers of this entry that it generates.
         answer_at: When one of them last got an event, or began, steady seconds.
-        read_share: Share of its pace that it may spend on prompts while it
+        prefill_share: Share of its pace that it may spend on prompts while it
             generates long answers; follows the pauses that are seen.
-        short_read_share: The same while it generates short answers alone.
+        short_prefill_share: The same while it generates short answers alone.
     """
 
-    reads_only: bool
+    prefill_only: bool
     cache_tokens: int
-    pace: Pace
+    prefill_model: PrefillModel
     slowness: float = 1.0
     cached: OrderedDict[str, int] = field(default_factory=OrderedDict)
     cached_tokens: int = 0
     ready_at: dict[str, float] = field(default_factory=dict)
     is_cache_known: bool = False
-    own_work_s: list[float] = field(default_factory=make_levels)
-    peers_work_s: dict[str, list[float]] = field(default_factory=dict)
-    peers_sum_s: list[float] = field(default_factory=make_levels)
+    own_backlog_s: list[float] = field(default_factory=make_levels)
+    peer_backlogs_s: dict[str, list[float]] = field(default_factory=dict)
+    peers_backlog_s: list[float] = field(default_factory=make_levels)
     peers_in_flight: dict[str, int] = field(default_factory=dict)
-    hold_s: float = 0.0
-    own_long: int = 0
-    peers_long: dict[str, int] = field(default_factory=dict)
-    recent: deque[Begun] = field(default_factory=deque)
+    slot_hold_s: float = 0.0
+    own_long_answers: int = 0
+    peers_long_answers: dict[str, int] = field(default_factory=dict)
+    recent_prefills: deque[PrefillStart] = field(default_factory=deque)
     placed: int = 0
     event_s: float = 0.0
     event_at: float = -math.inf
     own_answers: int = 0
     answer_at: float = -math.inf
-    read_share: float = 0.4
-    short_read_share: float = SHORT_READ_SHARE
+    prefill_share: float = 0.4
+    short_prefill_share: float = SHORT_PREFILL_SHARE
 
     @property
-    def work_s(self) -> float:
+    def backlog_s(self) -> float:
         """Seconds of reading that is still to be done for all entries."""
-        return sum_work(self, LATE)
+        return sum_backlog_s(self, LATE)
 
     @property
     def others_in_flight(self) -> int:
@@ -132,20 +134,25 @@
     @property
     def long_answers(self) -> int:
         """Long answers that it generates for all entries."""
-        return self.own_long + sum(self.peers_long.values())
+        return self.own_long_answers + sum(self.peers_long_answers.values())
 
 
 def make_engine(
-    reads_only: bool, cache_tokens: int, pace: Pace | None = None
+    prefill_only: bool, cache_tokens: int, prefill_model: PrefillModel | None = None
 ) -> Engine:
     """Make the belief about an engine of which nothing is known.
 
     Args:
-        reads_only: Whether it only reads prompts.
+        prefill_only: Whether it only reads prompts.
         cache_tokens: Tokens that its memory holds.
-        pace: How fast its service's engines read in its role; None for a new belief.
+        prefill_model: How fast its service's engines read in its role; None for a new
+            belief.
     """
-    return Engine(reads_only, cache_tokens, pace or paces.make_pace(reads_only))
+    return Engine(
+        prefill_only,
+        cache_tokens,
+        prefill_model or prefillmodel.make_prefill_model(prefill_only),
+    )
 
 
 def count_cached(engine: Engine, prompt: Prompt, ready_by: float = math.inf) -> int:
@@ -200,7 +207,7 @@
         engine.ready_at.pop(id, None)
 
 
-def note_held(engine: Engine, parts: Iterable[Part]) -> None:
+def note_earlier_cache(engine: Engine, parts: Iterable[Part]) -> None:
     """Take note of what a cache held before this entry began to place prompts.
 
     What was placed since was used later, so it stays the longest.
@@ -213,17 +220,23 @@
     engine.is_cache_known = True
 
 
-def estimate_reading_s(engine: Engine, new: float, context: float) -> float:
+def estimate_prefill_s(engine: Engine, new: float, context: float) -> float:
     """Estimate how long an engine reads new tokens behind cached ones, seconds."""
-    return paces.estimate_seconds(engine.pace, new, context) * engine.slowness
+    return (
+        prefillmodel.estimate_seconds(engine.prefill_model, new, context)
+        * engine.slowness
+    )
 
 
 def estimate_busy_s(engine: Engine, new: float, context: float) -> float:
     """Estimate how long a reading of new tokens occupies an engine, seconds."""
-    return paces.estimate_busy_s(engine.pace, new, context) * engine.slowness
+    return (
+        prefillmodel.estimate_busy_s(engine.prefill_model, new, context)
+        * engine.slowness
+    )
 
 
-def tells_pace(engine: Engine, up_s: float) -> bool:
+def is_useful_sample(engine: Engine, up_s: float) -> bool:
     """Whether a reading tells how fast an engine reads.
 
     After its start an entry does not know what caches hold. A prompt that is believed
@@ -238,34 +251,36 @@
     return engine.is_cache_known or up_s >= UNKNOWN_CACHE_S
 
 
-def note_reading(engine: Engine, measured: Measured) -> None:
+def note_unqueued_prefill(engine: Engine, measured: PrefillSample) -> None:
     """Take note of how long an engine took for a reading that did not wait."""
-    usual_s = paces.estimate_seconds(engine.pace, measured.new, measured.context)
+    usual_s = prefillmodel.estimate_seconds(
+        engine.prefill_model, measured.new, measured.context
+    )
     if usual_s <= 0:
         return
     low, high = SLOWNESS_BOUNDS
     ratio = min(high, max(low, measured.seconds / usual_s))
     # The common pace is not to learn from an engine what is its own.
-    common = Measured(
+    common = PrefillSample(
         measured.new, measured.context, measured.seconds / engine.slowness
     )
-    paces.note_measured(engine.pace, common)
+    prefillmodel.note_sample(engine.prefill_model, common)
     engine.slowness += SLOWNESS_SMOOTHING * (ratio - engine.slowness)
 
 
-def note_answered(engine: Engine, measured: Measured, was_alone: bool) -> None:
+def note_prefill_done(engine: Engine, measured: PrefillSample, was_alone: bool) -> None:
     """Take note of how long a reading took that may have waited for others.
 
     One that waited tells nothing where it took longer than was expected, but all the
     more where it took less: then engines are faster than is believed. Where there is
     work from the first second on, no reading is ever alone.
     """
-    expected_s = estimate_reading_s(engine, measured.new, measured.context)
+    expected_s = estimate_prefill_s(engine, measured.new, measured.context)
     if was_alone or measured.seconds < expected_s:
-        note_reading(engine, measured)
+        note_unqueued_prefill(engine, measured)
 
 
-def note_waited(engine: Engine, seconds: float, planned_s: float) -> None:
+def note_queued_prefill(engine: Engine, seconds: float, planned_s: float) -> None:
     """Take note of how long a reading took with its wait, against what was planned.
 
     Where an engine always has work no reading is alone, and one that became slow would
@@ -286,34 +301,36 @@
     engine.slowness = min(most, max(least, slowness))
 
 
-def sum_work(engine: Engine, level: int) -> float:
+def sum_backlog_s(engine: Engine, level: int) -> float:
     """Sum the seconds of reading to be done that are as urgent as a level, or more."""
     if level == LATE:
-        return sum(engine.own_work_s) + sum(engine.peers_sum_s)
-    return sum(engine.own_work_s[: level + 1]) + sum(engine.peers_sum_s[: level + 1])
+        return sum(engine.own_backlog_s) + sum(engine.peers_backlog_s)
+    return sum(engine.own_backlog_s[: level + 1]) + sum(
+        engine.peers_backlog_s[: level + 1]
+    )
 
 
-def note_peer_work(engine: Engine, peer: str, levels: list[float]) -> None:
+def note_peer_backlog(engine: Engine, peer: str, levels: list[float]) -> None:
     """Take note of the work that another entry has at an engine, by level.
 
     The sum is kept along: with 22 peers it is asked for far more often than it changes.
     """
-    forget_peer_work(engine, peer)
-    engine.peers_work_s[peer] = levels
-    engine.peers_sum_s = [
-        a + b for a, b in zip(engine.peers_sum_s, levels, strict=True)
+    forget_peer_backlog(engine, peer)
+    engine.peer_backlogs_s[peer] = levels
+    engine.peers_backlog_s = [
+        a + b for a, b in zip(engine.peers_backlog_s, levels, strict=True)
     ]
 
 
-def forget_peer_work(engine: Engine, peer: str) -> None:
+def forget_peer_backlog(engine: Engine, peer: str) -> None:
     """Forget the work of another entry."""
-    known = engine.peers_work_s.pop(peer, None)
+    known = engine.peer_backlogs_s.pop(peer, None)
     if known is None:
         return
-    pairs = zip(engine.peers_sum_s, known, strict=True)
+    pairs = zip(engine.peers_backlog_s, known, strict=True)
     # Without peers what rounding left over goes too.
-    engine.peers_sum_s = (
-        [max(0.0, a - b) for a, b in pairs] if engine.peers_work_s else make_levels()
+    engine.peers_backlog_s = (
+        [max(0.0, a - b) for a, b in pairs] if engine.peer_backlogs_s else make_levels()
     )
 
 
@@ -328,35 +345,39 @@
         level: How urgent the prompt is.
         now: The present time, steady seconds.
     """
-    work_s = sum_work(engine, level)
-    others_s = max(0.0, sum_work(engine, LATE) - work_s)
+    work_s = sum_backlog_s(engine, level)
+    others_s = max(0.0, sum_backlog_s(engine, LATE) - work_s)
     urgent_s = total_s = squares = 0.0
     # One pass for all sums: this is asked for each engine and request.
-    for begun in engine.recent:
+    for begun in engine.recent_prefills:
         total_s += begun.seconds
         squares += begun.seconds**2
-        if begun.level < level and begun.at > now - RECENT_S:
+        if begun.level < level and begun.at > now - RECENT_WINDOW_S:
             urgent_s += begun.seconds
     # What is left on average of a reading under way is half of the lengths, each
     # weighed by its length: the longer, the likelier it is the one under way.
     residual_s = squares / total_s / 2 if total_s > 0 else 0.0
     ahead_s = work_s + min(others_s, residual_s)
-    return ahead_s / max(LEAST_IDLE_SHARE, 1.0 - urgent_s / RECENT_S)
+    return ahead_s / max(LEAST_IDLE_SHARE, 1.0 - urgent_s / RECENT_WINDOW_S)
 
 
-def count_recent(engine: Engine, now: float) -> int:
-    """Count the readings that all entries placed at an engine within `RECENT_S`."""
-    return sum(begun.at >= now - RECENT_S for begun in engine.recent)
+def count_recent_prefills(engine: Engine, now: float) -> int:
+    """Count the prefills that began at an engine within `RECENT_WINDOW_S`."""
+    return sum(begun.at >= now - RECENT_WINDOW_S for begun in engine.recent_prefills)
 
 
-def note_read_begun(engine: Engine, now: float, seconds: float, level: int) -> None:
+def note_prefill_start(engine: Engine, now: float, seconds: float, level: int) -> None:
     """Take note of a reading that an engine begins, and how long it should take."""
-    while engine.recent and engine.recent[0].at < now - RECENT_S:
-        engine.recent.popleft()
-    engine.recent.append(Begun(now, seconds, level))
+    while (
+        engine.recent_prefills and engine.recent_prefills[0].at < now - RECENT_WINDOW_S
+    ):
+        engine.recent_prefills.popleft()
+    engine.recent_prefills.append(PrefillStart(now, seconds, level))
     engine.placed += 1
 
 
-def sum_recent(engine: Engine, now: float, window_s: float) -> float:
+def sum_recent_prefill_s(engine: Engine, now: float, window_s: float) -> float:
     """Sum the seconds of reading that an engine began within a window."""
-    return sum(begun.seconds for begun in engine.recent if begun.at >= now - window_s)
+    return sum(
+        begun.seconds for begun in engine.recent_prefills if begun.at >= now - window_s
+    )
--- a/src/robinspindle/core/eras.py
+++ b/src/robinspindle/core/eras.py
@@ -24,7 +24,7 @@
     OLDER = "older"
 
 
-def read_era(value: bytes) -> int | None:
+def parse_era(value: bytes) -> int | None:
     """Read an era from its header; None for what can't be one."""
     if not value.isdigit() or len(value) > len(str(MOST_ERA)):
         return None
--- a/src/robinspindle/core/estimates.py
+++ b/src/robinspindle/core/estimates.py
@@ -11,7 +11,7 @@
     count_cached,
     count_shared,
     estimate_busy_s,
-    estimate_reading_s,
+    estimate_prefill_s,
 )
 from robinspindle.core.forwarding import Prompt
 from robinspindle.core.health import find_slowness
@@ -37,30 +37,30 @@
 
 
 @dataclass(frozen=True)
-class Reading:
+class PrefillEstimate:
     """How one engine would read a prompt.
 
     Attributes:
         unread: Tokens that it has to read.
         seconds: How long it takes with the fetch, without the wait.
-        reading_s: How long the engine is busy with it, seconds.
+        prefill_s: How long the engine is busy with it, seconds.
         fetch_s: How long the fetch takes, seconds.
-        weight_s: What it counts for besides, seconds.
+        penalty_s: What it counts for besides, seconds.
         missing_share: Share of the shared parts that it has to read again.
         holder: From whose cache it fetches first; None for none.
     """
 
     unread: int
     seconds: float
-    reading_s: float
-    weight_s: float
+    prefill_s: float
+    penalty_s: float
     missing_share: float
     fetch_s: float = 0.0
     holder: Target | None = None
 
 
 @dataclass(frozen=True)
-class Move:
+class CacheTransfer:
     """How parts of a prompt may come from another engine's cache.
 
     Attributes:
@@ -74,9 +74,9 @@
     token_s: float
 
 
-def find_move(
+def find_cache_transfer(
     candidates: list[Pair], prompt: Prompt, token_s: float, now: float
-) -> Move:
+) -> CacheTransfer:
     """Find the engine from whose cache most of a prompt can be fetched.
 
     Args:
@@ -87,12 +87,12 @@
     """
     held = [count_cached(engine, prompt, now) for _, engine in candidates]
     most = max(held)
-    return Move(candidates[held.index(most)], most, token_s)
+    return CacheTransfer(candidates[held.index(most)], most, token_s)
 
 
-def estimate_reading(
-    pair: Pair, prompt: Prompt, now: float, move: Move | None
-) -> Reading:
+def estimate_prefill(
+    pair: Pair, prompt: Prompt, now: float, move: CacheTransfer | None
+) -> PrefillEstimate:
     """Estimate how an engine reads a prompt, with what another one holds if that helps.
 
     Args:
@@ -116,9 +116,9 @@
     prompt: Prompt,
     cached: int,
     slowness: float,
-    move: Move | None = None,
+    move: CacheTransfer | None = None,
     target: Target | None = None,
-) -> Reading:
+) -> PrefillEstimate:
     """Estimate a reading with what the engine holds, or with what it can fetch.
 
     Reading shared parts again weighs more than its time: it pushes other parts out of
@@ -137,24 +137,24 @@
     shared = count_shared(prompt)
     missing = max(0, shared - held)
     unread = prompt.tokens - held
-    answered_s = estimate_reading_s(engine, unread, held) * slowness
-    reading_s = estimate_busy_s(engine, unread, held) * slowness
+    answered_s = estimate_prefill_s(engine, unread, held) * slowness
+    prefill_s = estimate_busy_s(engine, unread, held) * slowness
     copied_s = estimate_busy_s(engine, min(fetched, shared), cached) * slowness
     fetch_s = _find_move_s(move, fetched, target) if move else 0.0
-    missing_s = reading_s * missing / max(1, unread)
-    fetch_weight = FETCH_WEIGHT if engine.reads_only else 0.0
-    return Reading(
+    missing_s = prefill_s * missing / max(1, unread)
+    fetch_weight = FETCH_WEIGHT if engine.prefill_only else 0.0
+    return PrefillEstimate(
         unread=unread,
         seconds=answered_s + fetch_s,
-        reading_s=reading_s,
-        weight_s=REREAD_WEIGHT * missing_s + fetch_weight * copied_s,
+        prefill_s=prefill_s,
+        penalty_s=REREAD_WEIGHT * missing_s + fetch_weight * copied_s,
         missing_share=missing / max(1, shared),
         fetch_s=fetch_s,
         holder=move.holder[0] if move else None,
     )
 
 
-def _find_move_s(move: Move, fetched: int, target: Target) -> float:
+def _find_move_s(move: CacheTransfer, fetched: int, target: Target) -> float:
     """Find how long a target fetches tokens from the holder, seconds."""
     is_far = move.holder[0].announced.zone != target.announced.zone
     return fetched * move.token_s * (FAR_MOVE if is_far else 1.0)
--- a/src/robinspindle/core/forwarding.py
+++ b/src/robinspindle/core/forwarding.py
@@ -187,7 +187,9 @@
     if route.kind != STREAM:
         return due
     patience_s = max(
-        LEAST_PATIENCE_S, PATIENCE_AIMS * route.aim_s, PATIENCE_GAPS * route.gap_s
+        LEAST_PATIENCE_S,
+        PATIENCE_AIMS * route.latency_objective_s,
+        PATIENCE_GAPS * route.gap_s,
     )
     return min(due, request.received_at + patience_s)
 
--- a/src/robinspindle/core/health.py
+++ b/src/robinspindle/core/health.py
@@ -10,18 +10,18 @@
 FAILURES_TO_REST = 2
 """Broken connections in a row after which a target rests: one may be chance."""
 
-FIRST_REST_S = 0.4
+FIRST_BACKOFF_S = 0.4
 """First rest, seconds: about a third of the interval of the targets' heartbeats."""
 
-MOST_REST_S = 3.0
+MAX_BACKOFF_S = 3.0
 """Longest rest, seconds: a crashed target that restarts is found again within it."""
 
 SWITCH_SLACK_S = 12.0
 """How long an engine may take beyond a change of role itself, seconds: the longest
 answers that it has to end first."""
 
-FULL_REST_S = 0.05
-MOST_FULL_REST_S = 1.0
+FIRST_FULL_BACKOFF_S = 0.05
+MAX_FULL_BACKOFF_S = 1.0
 """First and longest rest of a target that turned a request away, seconds: about the
 time in which a few of its requests end, doubled for each one that it turns away in a
 row. An engine that changes its role turns all away for seconds; with the first rest
@@ -45,7 +45,7 @@
     """Whether nothing that was seen speaks against a target at the moment."""
     if is_switching(target, now):
         return False
-    return now >= target.rested_until and now >= target.full_until
+    return now >= target.backoff_until and now >= target.full_until
 
 
 def find_slowness(target: Target, now: float) -> float:
@@ -102,28 +102,28 @@
     note_fault(target, True)
     if target.failures >= FAILURES_TO_REST:
         doublings = min(8, target.failures - FAILURES_TO_REST)
-        target.rested_until = now + min(MOST_REST_S, FIRST_REST_S * 2**doublings)
+        target.backoff_until = now + min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**doublings)
 
 
 def note_heard(target: Target, now: float) -> None:
     """Take note that something came of a target; a silent one is used again."""
-    if silence.note_heard(target.hearing, now):
+    if silence.note_heard(target.liveness, now):
         note_answered(target)
 
 
 def note_silent(target: Target, now: float) -> None:
     """Take note that a target has fallen silent; it rests."""
-    silence.note_silent(target.hearing, now)
+    silence.note_silent(target.liveness, now)
     note_refused(target, now)
 
 
-def note_told_silent(target: Target, now: float) -> bool:
+def note_reported_silent(target: Target, now: float) -> bool:
     """Take note that another entry found a target silent; whether that is believed.
 
     It is not where this entry has heard of the target since.
     """
-    is_heard = now - target.hearing.heard_at < silence.LEAST_SILENCE_S
-    if is_heard or now < target.rested_until:
+    is_heard = now - target.liveness.heard_at < silence.MIN_SILENCE_S
+    if is_heard or now < target.backoff_until:
         return False
     note_refused(target, now)
     return True
@@ -133,7 +133,7 @@
     """Take note of a whole answer."""
     target.failures = 0
     target.refusals = 0
-    target.rested_until = 0.0
+    target.backoff_until = 0.0
 
 
 def note_fault(target: Target, faulty: bool) -> None:
@@ -144,6 +144,6 @@
 def note_full(target: Target, now: float, rests_longer: bool = True) -> None:
     """Take note that a target turned a request away; it rests, longer each time."""
     doublings = target.refusals if rests_longer else 0
-    rest_s = min(MOST_FULL_REST_S, FULL_REST_S * 2**doublings)
+    rest_s = min(MAX_FULL_BACKOFF_S, FIRST_FULL_BACKOFF_S * 2**doublings)
     target.refusals += 1
     target.full_until = max(target.full_until, now + rest_s)
--- a/src/robinspindle/core/hosting.py
+++ b/src/robinspindle/core/hosting.py
@@ -172,7 +172,7 @@
         rng: Source of random choices.
         has_exposed: Whether short answers have pauses, so that a host's pace counts.
     """
-    generating = [pair for pair in candidates if not pair[1].reads_only]
+    generating = [pair for pair in candidates if not pair[1].prefill_only]
     if not generating:
         return None
 
@@ -204,7 +204,7 @@
     crowded_s = HOST_S * (used if used >= 1.0 else 1.0 - used)
     event_s = _find_pace(engine, now)
     slow_s = max(0.0, event_s - SLOW_EVENTS * fastest_s)
-    wait_s = engine.work_s + find_slot_wait(pair)
+    wait_s = engine.backlog_s + find_slot_wait(pair)
     return wait_s + crowded_s + slow_s + weigh_place(target, zone)
 
 
@@ -227,7 +227,7 @@
     target, engine = pair
     slots = max(1, target.announced.slots)
     beyond = count_requests(pair) + 1 - slots
-    return max(0, beyond) * engine.hold_s / slots
+    return max(0, beyond) * engine.slot_hold_s / slots
 
 
 def find_slowness(engine: Engine, now: float, fastest_s: float) -> float:
@@ -258,7 +258,7 @@
     """
     target, engine = pair
     way_s = weigh_place(target, zone)
-    return count_requests(pair) * SLOT_S * slowness + engine.work_s + way_s
+    return count_requests(pair) * SLOT_S * slowness + engine.backlog_s + way_s
 
 
 def weigh_place(target: Target, zone: str) -> float:
--- a/src/robinspindle/core/lives.py
+++ b/src/robinspindle/core/lifetimes.py
@@ -44,7 +44,7 @@
     return lifetime.partition(MARK)[0]
 
 
-def find_born_ms(lifetime: str) -> int | None:
+def find_start_ms(lifetime: str) -> int | None:
     """Find when a lifetime started, Unix milliseconds; None where that is not told."""
     born_ms = lifetime.partition(MARK)[2]
     return int(born_ms) if born_ms else None
@@ -55,7 +55,7 @@
 
     One that tells no start is never later than one that does.
     """
-    born_ms, other_ms = find_born_ms(lifetime), find_born_ms(other)
+    born_ms, other_ms = find_start_ms(lifetime), find_start_ms(other)
     if born_ms is None:
         return False
     return other_ms is None or born_ms > other_ms
--- a/src/robinspindle/core/membership.py
+++ b/src/robinspindle/core/membership.py
@@ -9,8 +9,8 @@
 from robinspindle.messages import Report
 
 SUSPECT_FAILURES = 3
-FIRST_REST_S = 0.5
-MOST_REST_S = 10.0
+FIRST_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 10.0
 
 
 @dataclass
@@ -19,23 +19,23 @@
 
     Attributes:
         heard_at: When its agent was last heard, None for never.
-        greeted_at: When it was last greeted.
+        hello_sent_at: When it was last greeted.
         report: The last report.
         prefixes: Digests of prefixes in its cache, as last told.
         prefix_version: Number of that list.
         listed_leaving: Whether the platform's list names its VM as leaving.
         failures: Runs that broke off in a row.
-        rested_until: Until when it is put aside for its failures.
+        backoff_until: Until when it is put aside for its failures.
     """
 
     heard_at: float | None = None
-    greeted_at: float = 0.0
+    hello_sent_at: float = 0.0
     report: Report | None = None
     prefixes: tuple[str, ...] = ()
     prefix_version: int = 0
     listed_leaving: bool = False
     failures: int = 0
-    rested_until: float = 0.0
+    backoff_until: float = 0.0
 
 
 def note_report(evidence: Evidence, now: float, report: Report) -> None:
@@ -55,17 +55,17 @@
     evidence.failures += 1
     if evidence.failures >= SUSPECT_FAILURES:
         doublings = evidence.failures - SUSPECT_FAILURES
-        rest = min(MOST_REST_S, FIRST_REST_S * 2**doublings)
-        evidence.rested_until = now + rest
+        rest = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**doublings)
+        evidence.backoff_until = now + rest
 
 
 def note_success(evidence: Evidence) -> None:
     """Take note of a run that came to its end at the target."""
     evidence.failures = 0
-    evidence.rested_until = 0.0
+    evidence.backoff_until = 0.0
 
 
-def note_hold_up(evidence: Evidence, now: float, held_s: float) -> None:
+def note_process_pause(evidence: Evidence, now: float, held_s: float) -> None:
     """Take note that nothing could be heard for so many seconds until now."""
     if evidence.heard_at is not None:
         evidence.heard_at = min(now, evidence.heard_at + held_s)
@@ -84,4 +84,4 @@
         return False
     if now - evidence.heard_at > leaving_after_s:
         return False
-    return now >= evidence.rested_until
+    return now >= evidence.backoff_until
--- a/src/robinspindle/core/pauses.py
+++ b/src/robinspindle/core/pauses.py
@@ -17,7 +17,7 @@
 
 
 @dataclass
-class Clocks:
+class ClockReadings:
     """What two clocks showed when they were last compared.
 
     Attributes:
@@ -42,7 +42,9 @@
     is_suspension: bool
 
 
-def find_pause(before: Clocks, after: Clocks, asked_s: float | None) -> Pause | None:
+def detect_pause(
+    before: ClockReadings, after: ClockReadings, asked_s: float | None
+) -> Pause | None:
     """Find the pause between two looks at the clocks.
 
     Args:
--- a/src/robinspindle/core/permits.py
+++ b/src/robinspindle/core/permits.py
@@ -29,7 +29,7 @@
 """What needs no key may run."""
 
 
-def find_permit(
+def authorize(
     table: RouteTable, route: Route, request: Request, freshness: Freshness, now: float
 ) -> Permit | Refusal:
     """Find by whose key a request may run, or why it may not.
@@ -56,7 +56,7 @@
     return Permit(workspace, digest)
 
 
-def is_taken_away(table: RouteTable, permit: Permit) -> bool:
+def is_revoked(table: RouteTable, permit: Permit) -> bool:
     """Whether the key of a request that waits was taken away since it came."""
     if permit.digest is None:
         return False
--- a/src/robinspindle/core/paces.py
+++ b/src/robinspindle/core/prefillmodel.py
@@ -14,8 +14,8 @@
 Coefficients = tuple[float, float, float]
 """Seconds of any reading, of 1,000 new tokens, of a million pairs."""
 
-START_READING: Coefficients = (0.005, 0.02, 0.0)
-START_GENERATING: Coefficients = (0.005, 0.04, 0.0)
+INITIAL_PREFILL_ONLY: Coefficients = (0.005, 0.02, 0.0)
+INITIAL_DECODE: Coefficients = (0.005, 0.04, 0.0)
 """What is believed before the first reading: 50,000 tokens a second, and half of that
 for engines that read between the tokens of others. It weighs as much as `START_WEIGHT`
 readings, so it is neither a floor nor a ceiling: with half or double of it the middle
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class Measured:
+class PrefillSample:
     """One reading that did not wait for others.
 
     Attributes:
@@ -60,7 +60,7 @@
     seconds: float
 
 
-class Sums(msgspec.Struct, array_like=True):
+class FitSums(msgspec.Struct, array_like=True):
     """What a fit needs of all readings: sums of products, each reading scaled to 1 s.
 
     Attributes:
@@ -75,19 +75,19 @@
 
 
 @dataclass
-class Pace:
+class PrefillModel:
     """How fast the engines of one service read in one role.
 
     Attributes:
         start: What is believed before any reading.
         own: Sums over this entry's own readings.
-        told: The same of other entries, by name.
+        peer_sums: The same of other entries, by name.
         known: The coefficients that were fitted last; None since anything was noted.
     """
 
     start: Coefficients
-    own: Sums = field(default_factory=lambda: _make_sums())
-    told: dict[str, Sums] = field(default_factory=dict)
+    own: FitSums = field(default_factory=lambda: _make_sums())
+    peer_sums: dict[str, FitSums] = field(default_factory=dict)
     known: Coefficients | None = None
 
     def __post_init__(self):
@@ -104,12 +104,12 @@
         return self.known
 
 
-def make_pace(reads_only: bool) -> Pace:
+def make_prefill_model(prefill_only: bool) -> PrefillModel:
     """Make the belief of engines of which nothing is known."""
-    return Pace(START_READING if reads_only else START_GENERATING)
+    return PrefillModel(INITIAL_PREFILL_ONLY if prefill_only else INITIAL_DECODE)
 
 
-def estimate_seconds(pace: Pace, new: float, context: float) -> float:
+def estimate_seconds(pace: PrefillModel, new: float, context: float) -> float:
     """Estimate how long an engine reads, without any wait, seconds.
 
     Args:
@@ -122,7 +122,7 @@
     return _multiply(pace.fitted, _find_features(new, context))
 
 
-def estimate_busy_s(pace: Pace, new: float, context: float) -> float:
+def estimate_busy_s(pace: PrefillModel, new: float, context: float) -> float:
     """Estimate for how long a reading keeps others from being read, seconds.
 
     The constant part of a reading is the way of a prompt to its engine and of the
@@ -142,7 +142,7 @@
     return _multiply((0.0, new_s, pairs_s), _find_features(new, context))
 
 
-def note_measured(pace: Pace, measured: Measured) -> None:
+def note_sample(pace: PrefillModel, measured: PrefillSample) -> None:
     """Take note of one reading that did not wait."""
     if measured.new <= 0 or measured.seconds <= 0:
         return
@@ -155,25 +155,25 @@
     pace.known = None
 
 
-def note_told(pace: Pace, entry: str, sums: Sums) -> None:
+def note_peer_sums(pace: PrefillModel, entry: str, sums: FitSums) -> None:
     """Take note of what another entry has learnt; its older word is replaced."""
     if len(sums.products) != len(_make_sums().products):
         return
-    pace.told[entry] = sums
+    pace.peer_sums[entry] = sums
     pace.known = None
 
 
-def forget_told(pace: Pace, entry: str) -> None:
+def forget_peer_sums(pace: PrefillModel, entry: str) -> None:
     """Forget what an entry that fell silent has told."""
-    if pace.told.pop(entry, None) is not None:
+    if pace.peer_sums.pop(entry, None) is not None:
         pace.known = None
 
 
-def add_sums(first: Sums, second: Sums, factor: float = 1.0) -> Sums:
+def add_fit_sums(first: FitSums, second: FitSums, factor: float = 1.0) -> FitSums:
     """Add up what two entries have learnt, the second one multiplied by a factor."""
     if len(first.products) != len(second.products):
         return first
-    return Sums(
+    return FitSums(
         first.weight + second.weight * factor,
         [a + b * factor for a, b in zip(first.products, second.products, strict=True)],
         [a + b * factor for a, b in zip(first.results, second.results, strict=True)],
@@ -184,11 +184,13 @@
     return (1.0, new / 1e3, new * (context + new / 2) / 1e6)
 
 
-def _make_sums() -> Sums:
-    return Sums(0.0, [0.0] * (FEATURES * (FEATURES + 1) // 2), [0.0] * FEATURES)
+def _make_sums() -> FitSums:
+    return FitSums(0.0, [0.0] * (FEATURES * (FEATURES + 1) // 2), [0.0] * FEATURES)
 
 
-def _add(sums: Sums, features: Coefficients, seconds: float, expected_s: float) -> Sums:
+def _add(
+    sums: FitSums, features: Coefficients, seconds: float, expected_s: float
+) -> FitSums:
     """Fade sums and add one reading, scaled so that its relative error counts.
 
     A scale by the seconds themselves would favour coefficients that are too low; one by
@@ -202,18 +204,18 @@
         for column in range(row, FEATURES)
     ]
     results = [feature * seconds * scale for feature in scaled]
-    return Sums(
+    return FitSums(
         weight=sums.weight * FADE + 1.0,
         products=[a * FADE + b for a, b in zip(sums.products, products, strict=True)],
         results=[a * FADE + b for a, b in zip(sums.results, results, strict=True)],
     )
 
 
-def _sum_weights(pace: Pace) -> float:
-    return pace.own.weight + sum(sums.weight for sums in pace.told.values())
+def _sum_weights(pace: PrefillModel) -> float:
+    return pace.own.weight + sum(sums.weight for sums in pace.peer_sums.values())
 
 
-def _fit(pace: Pace) -> Coefficients:
+def _fit(pace: PrefillModel) -> Coefficients:
     """Fit the coefficients, none of them below 0, to all that is known."""
     total = _sum_up(pace)
     used = list(range(FEATURES))
@@ -230,7 +232,7 @@
     return pace.start
 
 
-def _sum_up(pace: Pace) -> Sums:
+def _sum_up(pace: PrefillModel) -> FitSums:
     total = _make_sums()
     for tokens in START_TOKENS:
         features = _find_features(tokens, 0.0)
@@ -239,12 +241,12 @@
     factor = START_WEIGHT / len(START_TOKENS)
     total.products = [value * factor for value in total.products]
     total.results = [value * factor for value in total.results]
-    for sums in (pace.own, *pace.told.values()):
-        total = add_sums(total, sums)
+    for sums in (pace.own, *pace.peer_sums.values()):
+        total = add_fit_sums(total, sums)
     return total
 
 
-def _solve(sums: Sums, used: list[int]) -> list[float] | None:
+def _solve(sums: FitSums, used: list[int]) -> list[float] | None:
     """Solve the normal equations for some features; None where they don't tell."""
     rows = [
         [_find_product(sums, row, column) for column in used] + [sums.results[row]]
@@ -266,7 +268,7 @@
     return [row[size] for row in rows]
 
 
-def _find_product(sums: Sums, row: int, column: int) -> float:
+def _find_product(sums: FitSums, row: int, column: int) -> float:
     low, high = sorted((row, column))
     skipped = low * FEATURES - low * (low - 1) // 2
     return sums.products[skipped + high - low]
--- a/src/robinspindle/core/quarantine.py
+++ b/src/robinspindle/core/quarantine.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from robinspindle.core.fingerprints import Fingerprint, get_mark, is_fingerprint
-from robinspindle.core.lives import is_id
+from robinspindle.core.lifetimes import is_id
 from robinspindle.exceptions import BadDocumentError
 
 FIRST_TRIAL_S = 300.0
--- a/src/robinspindle/core/reading.py
+++ b/src/robinspindle/core/reading.py
@@ -12,18 +12,18 @@
 
 from robinspindle.core.answering import may_read_beside
 from robinspindle.core.engines import (
-    RECENT_S,
+    RECENT_WINDOW_S,
     Engine,
-    count_recent,
+    count_recent_prefills,
     estimate_wait,
-    sum_work,
+    sum_backlog_s,
 )
 from robinspindle.core.estimates import (
-    Move,
+    CacheTransfer,
     Pair,
-    Reading,
-    estimate_reading,
-    find_move,
+    PrefillEstimate,
+    estimate_prefill,
+    find_cache_transfer,
 )
 from robinspindle.core.forwarding import Prompt
 from robinspindle.core.hosting import (
@@ -84,7 +84,7 @@
         holder: From whose cache the engine that reads it first fetches the parts that
             it lacks; None for none.
         unread: Tokens that have to be read.
-        reading_s: Estimated seconds for which they occupy an engine.
+        prefill_s: Estimated seconds for which they occupy an engine.
         wait_s: Estimated wait for other prompts, seconds.
         first_s: Estimated seconds until the first event.
         cost_s: What it counts for against other plans, seconds.
@@ -98,7 +98,7 @@
     target: Target
     reader: Target | None
     unread: int
-    reading_s: float
+    prefill_s: float
     wait_s: float
     first_s: float
     cost_s: float
@@ -117,7 +117,7 @@
     Attributes:
         now: The present time, steady seconds.
         left_s: Seconds until the first event should have come.
-        aim_s: The time in which the first event should come, seconds.
+        latency_objective_s: The time in which the first event should come, seconds.
         rank: The operator's rank of the route; 0 is the highest.
         is_long: Whether the answer is expected to be long.
         gap_s: The longest pause that long answers beside it may have, seconds.
@@ -125,8 +125,8 @@
         has_exposed: Whether short answers beside it have pauses at all.
         begin_s: Seconds from the end of a reading apart to the first event.
         late_begin_s: The same for what goes after all that can be in time.
-        move_s: Seconds that a token takes from engine to engine within an availability
-            zone; None where that is not known.
+        token_transfer_s: Seconds that a token takes from engine to engine within an
+            availability zone; None where that is not known.
         age_s: How old what the other entries told may be, seconds.
         rng: Source of random choices; None to choose by cost alone.
         policy: The decisions in force.
@@ -144,7 +144,7 @@
 
     now: float
     left_s: float
-    aim_s: float
+    latency_objective_s: float
     gap_s: float
     zone: str
     rank: int = 0
@@ -152,7 +152,7 @@
     has_exposed: bool = True
     begin_s: float = 0.0
     late_begin_s: float = 0.0
-    move_s: float | None = None
+    token_transfer_s: float | None = None
     age_s: float = 0.0
     rng: random.Random | None = None
     policy: Policy = Policy()
@@ -176,7 +176,7 @@
         The cheapest plan that is in time; else the soonest; None without an engine
         that generates.
     """
-    generating = [pair for pair in candidates if not pair[1].reads_only]
+    generating = [pair for pair in candidates if not pair[1].prefill_only]
     if not generating:
         return None
     if at.has_exposed:
@@ -205,7 +205,11 @@
 
 
 def _plan_long(
-    host: Pair, candidates: list[Pair], prompt: Prompt, at: Situation, move: Move | None
+    host: Pair,
+    candidates: list[Pair],
+    prompt: Prompt,
+    at: Situation,
+    move: CacheTransfer | None,
 ) -> Plan:
     """Plan where the prompt of a long answer is read; its host is chosen already.
 
@@ -214,9 +218,11 @@
     too.
     """
     local = _plan_local(host, prompt, at, move)
-    if is_short(local.reading_s, at.aim_s) or _may_read_there(host[1], local, at):
+    if is_short(local.prefill_s, at.latency_objective_s) or _may_read_there(
+        host[1], local, at
+    ):
         return local
-    readers = [pair for pair in candidates if pair[1].reads_only]
+    readers = [pair for pair in candidates if pair[1].prefill_only]
     plans = [_plan_apart(pair, host, prompt, at, move) for pair in readers]
     return min(plans, key=lambda plan: plan.cost_s, default=local)
 
@@ -268,14 +274,16 @@
     """Whether too much is placed before it is told for all engines to be compared."""
     if at.rng is None or not at.policy.varies_choices:
         return False
-    placed = sum(count_recent(engine, at.now) for _, engine in candidates)
-    return placed / RECENT_S * at.age_s / len(candidates) > MOST_UNSEEN
+    placed = sum(count_recent_prefills(engine, at.now) for _, engine in candidates)
+    return placed / RECENT_WINDOW_S * at.age_s / len(candidates) > MOST_UNSEEN
 
 
-def _find_move(candidates: list[Pair], prompt: Prompt, at: Situation) -> Move | None:
-    if at.move_s is None or not at.policy.fetches_parts:
+def _find_move(
+    candidates: list[Pair], prompt: Prompt, at: Situation
+) -> CacheTransfer | None:
+    if at.token_transfer_s is None or not at.policy.fetches_parts:
         return None
-    return find_move(candidates, prompt, at.move_s, at.now)
+    return find_cache_transfer(candidates, prompt, at.token_transfer_s, at.now)
 
 
 def _list_plans(
@@ -283,7 +291,7 @@
     generating: list[Pair],
     prompt: Prompt,
     at: Situation,
-    move: Move | None,
+    move: CacheTransfer | None,
     is_late: bool = False,
 ) -> list[Plan]:
     """List the plans for a prompt whose answer is short.
@@ -299,8 +307,8 @@
         move: From where parts may be fetched.
         is_late: Whether it can't be in time.
     """
-    hosts = [pair for pair in readable if not pair[1].reads_only]
-    readers = [pair for pair in readable if pair[1].reads_only]
+    hosts = [pair for pair in readable if not pair[1].prefill_only]
+    readers = [pair for pair in readable if pair[1].prefill_only]
     local = [_plan_local(pair, prompt, at, move, is_late) for pair in hosts]
     plans = [
         plan
@@ -321,7 +329,7 @@
     has_pauses = engine.long_answers > 0 or at.has_exposed
     if not has_pauses or not at.policy.limits_reading:
         return True
-    return may_read_beside(engine, at.now, plan.reading_s, at.gap_s)
+    return may_read_beside(engine, at.now, plan.prefill_s, at.gap_s)
 
 
 def _draw_spread(at: Situation) -> float:
@@ -339,12 +347,12 @@
     pair: Pair,
     prompt: Prompt,
     at: Situation,
-    move: Move | None,
+    move: CacheTransfer | None,
     is_late: bool = False,
 ) -> Plan:
     """Plan to read a prompt where its answer is generated."""
     target, engine = pair
-    reading = estimate_reading(pair, prompt, at.now, move)
+    reading = estimate_prefill(pair, prompt, at.now, move)
     after_s = weigh_place(target, at.zone) + at.slot_wait_s
     slowness = find_slowness(engine, at.now, at.fastest_s)
     spread_s = count_requests(pair) * SLOT_S * slowness
@@ -356,12 +364,12 @@
     host: Pair,
     prompt: Prompt,
     at: Situation,
-    move: Move | None,
+    move: CacheTransfer | None,
     is_late: bool = False,
 ) -> Plan:
     """Plan to read a prompt at one engine and to generate its answer at the host."""
     reader, engine = pair
-    reading = estimate_reading(pair, prompt, at.now, move)
+    reading = estimate_prefill(pair, prompt, at.now, move)
     begin_s = at.late_begin_s if is_late else at.begin_s
     after_s = weigh_place(reader, at.zone) + max(begin_s, at.slot_wait_s)
     # The host reads other prompts meanwhile, but lets a fetched one in between.
@@ -378,7 +386,7 @@
     target: Target,
     reader: Target | None,
     engine: Engine,
-    reading: Reading,
+    reading: PrefillEstimate,
     after_s: float,
     spread_s: float,
     at: Situation,
@@ -397,7 +405,9 @@
         is_late: Whether it can't be in time.
     """
     follows_ranks = at.policy.follows_ranks
-    level = find_level(reading.reading_s, at.aim_s, at.rank, follows_ranks)
+    level = find_level(
+        reading.prefill_s, at.latency_objective_s, at.rank, follows_ranks
+    )
     if level == SHORT and at.is_long:
         # Its reading holds nobody up, its answer does: it would take the slots of
         # prompts that were read and whose answers are short.
@@ -406,16 +416,16 @@
     wait_s = estimate_wait(engine, level, at.now)
     first_s = wait_s + reading.seconds + after_s
     # What waits behind it counts like what it waits for itself.
-    behind_s = sum_work(engine, LATE - 1) if at.policy.counts_held_up else 0.0
+    behind_s = sum_backlog_s(engine, LATE - 1) if at.policy.counts_held_up else 0.0
     held_up_s = max(wait_s, behind_s)
     return Plan(
         target=target,
         reader=reader,
         unread=reading.unread,
-        reading_s=reading.reading_s,
+        prefill_s=reading.prefill_s,
         wait_s=wait_s,
         first_s=first_s,
-        cost_s=first_s - wait_s + held_up_s + spread_s + reading.weight_s,
+        cost_s=first_s - wait_s + held_up_s + spread_s + reading.penalty_s,
         missing_share=reading.missing_share,
         holder=reading.holder,
         fetch_s=reading.fetch_s,
--- a/src/robinspindle/core/rebalancing.py
+++ b/src/robinspindle/core/rebalancing.py
@@ -153,7 +153,7 @@
     prefill_load: float,
     history: RoleChangeHistory,
     now: float,
-    switch_s: float,
+    role_change_s: float,
     pressure: float = 0.0,
 ) -> RoleChange | None:
     """Decide whether engines of one service should change their role.
@@ -163,17 +163,17 @@
         prefill_load: Prefill load on all gateways together, in prefill engines.
         history: The last role change of the service.
         now: The current time, monotonic seconds.
-        switch_s: How long a role change takes an engine out of service, seconds.
+        role_change_s: How long a role change takes an engine out of service, seconds.
         pressure: Duration of the longest answers, as a share of the time that their
             callers allow.
 
     Returns:
         The change to make now, or None.
     """
-    if now - history.changed_at < switch_s + CHANGE_PAUSE_S:
+    if now - history.changed_at < role_change_s + CHANGE_PAUSE_S:
         return None
-    prefill_engines = [pair for pair in engines if pair[1].reads_only]
-    decode_engines = [pair for pair in engines if not pair[1].reads_only]
+    prefill_engines = [pair for pair in engines if pair[1].prefill_only]
+    decode_engines = [pair for pair in engines if not pair[1].prefill_only]
     if (
         len(decode_engines) < MIN_DECODE_ENGINES
         and len(prefill_engines) > len(decode_engines) + 1
@@ -268,7 +268,7 @@
     prefill_engines: list[EnginePair], count: int, replaces_lost: bool
 ) -> RoleChange:
     """Make a change of the prefill engines with the least work to the decode role."""
-    ranked = sorted(prefill_engines, key=lambda pair: pair[1].work_s)
+    ranked = sorted(prefill_engines, key=lambda pair: pair[1].backlog_s)
     return RoleChange(DECODE_ROLE, _take_first(ranked, count), replaces_lost)
 
 
--- a/src/robinspindle/core/routes.py
+++ b/src/robinspindle/core/routes.py
@@ -30,7 +30,7 @@
         prefix: The beginning of the paths that it takes.
         kind: ``idempotent``, ``at-most-once`` or ``stream``.
         timeout_s: The longest that one attempt may be held, seconds.
-        aim_s: The time within which an answer is worth most, seconds.
+        latency_objective_s: The time within which an answer is worth most, seconds.
         attempts: The most targets that one attempt may go to.
         priority: 0 is the most urgent.
         backends: Its services by weight.
@@ -45,7 +45,7 @@
     prefix: str
     kind: str
     timeout_s: float
-    aim_s: float
+    latency_objective_s: float
     attempts: int = 1
     priority: int = 5
     backends: tuple[Backend, ...] = ()
@@ -60,25 +60,25 @@
 
 
 @dataclass(frozen=True)
-class EngineShape:
+class EngineSpec:
     """What the configuration says of a service's engines.
 
     Attributes:
         slots: Requests that one engine works on at once.
         cache_tokens: Tokens that one engine's memory holds.
-        handle_s: How long a prompt that was read is held for fetching, seconds.
-        switch_s: How long a change of role takes an engine away, seconds.
+        kv_retention_s: How long a prompt that was read is held for fetching, seconds.
+        role_change_s: How long a change of role takes an engine away, seconds.
         event_tokens: Tokens that one event of a stream holds at the most.
-        move_s: Seconds that a token's memory takes over an engine's link; None where
-            that is not told.
+        token_transfer_s: Seconds that a token's memory takes over an engine's link;
+            None where that is not told.
     """
 
     slots: int
     cache_tokens: int
-    handle_s: float
-    switch_s: float
+    kv_retention_s: float
+    role_change_s: float
     event_tokens: int = 1
-    move_s: float | None = None
+    token_transfer_s: float | None = None
 
 
 @dataclass(frozen=True)
@@ -88,7 +88,7 @@
     Attributes:
         name: Its name.
         health_path: Path of its health check.
-        connections: Connections that one target takes from all callers together.
+        connection_limit: Connections that one target takes from all callers together.
         engine: The shape of its engines; None for a plain service.
         scaling: How many targets it may have in each zone; None where nobody orders
             that.
@@ -96,8 +96,8 @@
 
     name: str
     health_path: str
-    connections: int
-    engine: EngineShape | None = None
+    connection_limit: int
+    engine: EngineSpec | None = None
     scaling: Bounds | None = None
 
 
--- a/src/robinspindle/core/sharing.py
+++ b/src/robinspindle/core/sharing.py
@@ -13,13 +13,13 @@
 from robinspindle.core.crashnews import RequestNews
 from robinspindle.core.engines import (
     Engine,
-    forget_peer_work,
-    note_peer_work,
+    forget_peer_backlog,
+    note_peer_backlog,
     note_placed,
-    note_read_begun,
+    note_prefill_start,
 )
 from robinspindle.core.forwarding import Part
-from robinspindle.core.paces import Sums
+from robinspindle.core.prefillmodel import FitSums
 from robinspindle.core.urgency import FIRST_RANK
 from robinspindle.core.usage import Account
 
@@ -84,13 +84,13 @@
 
     Attributes:
         service: Their service.
-        reads_only: Whether they only read.
+        prefill_only: Whether they only read.
         sums: The sums over its own readings.
     """
 
     service: str
-    reads_only: bool
-    sums: Sums
+    prefill_only: bool
+    sums: FitSums
 
 
 class Cache(msgspec.Struct, array_like=True):
@@ -250,11 +250,11 @@
     for placement in digest.placements:
         engine = find(placement.lifetime)
         if engine is not None:
-            ready_at = now + engine.work_s + placement.work_ms / 1000
+            ready_at = now + engine.backlog_s + placement.work_ms / 1000
             note_placed(engine, [Part(*part) for part in placement.parts], ready_at)
             if placement.work_ms:
                 seconds = placement.work_ms / 1000
-                note_read_begun(engine, now, seconds, placement.level)
+                note_prefill_start(engine, now, seconds, placement.level)
     return True
 
 
@@ -290,13 +290,13 @@
     for lifetime in peer.lifetimes - {load.lifetime for load in loads}:
         engine = find(lifetime)
         if engine is not None:
-            forget_peer_work(engine, name)
+            forget_peer_backlog(engine, name)
             engine.peers_in_flight.pop(name, None)
-            engine.peers_long.pop(name, None)
+            engine.peers_long_answers.pop(name, None)
     for load in loads:
         engine = find(load.lifetime)
         if engine is not None:
-            note_peer_work(engine, name, [ms / 1000 for ms in load.work_ms])
+            note_peer_backlog(engine, name, [ms / 1000 for ms in load.work_ms])
             engine.peers_in_flight[name] = load.in_flight
-            engine.peers_long[name] = load.long_answers
+            engine.peers_long_answers[name] = load.long_answers
     peer.lifetimes = {load.lifetime for load in loads}
--- a/src/robinspindle/core/silence.py
+++ b/src/robinspindle/core/silence.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-LEAST_SILENCE_S = 0.6
+MIN_SILENCE_S = 0.6
 """The shortest silence that is noticed, seconds: several times the longest step of an
 engine that reads a piece of a prompt (0.1 s), and a third of what callers wait."""
 
@@ -33,29 +33,29 @@
 
 
 @dataclass(eq=False)
-class Expectation:
+class ExpectedResponse:
     """Something that is to be heard of a target.
 
     Attributes:
         since: When the wait began, or the last part of the answer came, steady seconds.
-        within_s: How long it may take, seconds.
-        leave: Called when the target is silent, if the request may go elsewhere; None
+        silent_after_s: How long it may take, seconds.
+        abandon: Called when the target is silent, if the request may go elsewhere; None
             if it has to wait.
-        most_s: How long it may take at the most, seconds, also where the target is
-            heard of otherwise: then this one answer is lost.
+        lost_after_s: How long it may take at the most, seconds, also where the target
+            is heard of otherwise: then this one answer is lost.
         end: Called when the target's life is known to be over, whether or not the
             request may go elsewhere: nothing more will come.
     """
 
     since: float
-    within_s: float
-    leave: Callable[[], None] | None = None
-    most_s: float = math.inf
+    silent_after_s: float
+    abandon: Callable[[], None] | None = None
+    lost_after_s: float = math.inf
     end: Callable[[], None] | None = None
 
 
 @dataclass
-class Hearing:
+class Liveness:
     """What is heard of one target, and what is expected.
 
     Attributes:
@@ -65,78 +65,78 @@
     """
 
     heard_at: float = -math.inf
-    expected: set[Expectation] = field(default_factory=set)
+    expected: set[ExpectedResponse] = field(default_factory=set)
     silent_since: float | None = None
 
 
-def find_answer_patience(planned_s: float) -> float:
+def find_first_event_timeout(planned_s: float) -> float:
     """Find how long an answer that was planned to take so long may take to begin."""
-    return max(LEAST_SILENCE_S, PLANNED_FACTOR * planned_s)
+    return max(MIN_SILENCE_S, PLANNED_FACTOR * planned_s)
 
 
-def find_most_patience(planned_s: float) -> float:
+def find_lost_timeout(planned_s: float) -> float:
     """Find after how long an answer that was planned to take so long must be lost."""
     return LOST_S + LOST_FACTOR * planned_s
 
 
-def find_event_patience(gap_s: float) -> float:
+def find_next_event_timeout(gap_s: float) -> float:
     """Find how long the next event may take where such a pause is in time, seconds."""
-    return max(LEAST_SILENCE_S, GAP_FACTOR * gap_s)
+    return max(MIN_SILENCE_S, GAP_FACTOR * gap_s)
 
 
-def note_pause(hearing: Hearing, now: float) -> None:
+def note_pause(liveness: Liveness, now: float) -> None:
     """Take note that nothing could be heard until now: all waits begin anew."""
-    for expected in hearing.expected:
+    for expected in liveness.expected:
         expected.since = max(expected.since, now)
 
 
-def note_heard(hearing: Hearing, now: float) -> bool:
+def note_heard(liveness: Liveness, now: float) -> bool:
     """Take note that something came; whether a target that was silent is so no more."""
-    hearing.heard_at = now
-    ends_silence = hearing.silent_since is not None and now > hearing.silent_since
+    liveness.heard_at = now
+    ends_silence = liveness.silent_since is not None and now > liveness.silent_since
     if ends_silence:
-        hearing.silent_since = None
+        liveness.silent_since = None
     return ends_silence
 
 
-def is_overdue(hearing: Hearing, now: float, work_s: float = 0.0) -> bool:
+def is_overdue(liveness: Liveness, now: float, backlog_s: float = 0.0) -> bool:
     """Whether nothing was heard for as long as somebody expected to hear.
 
     Of a target that is silent already only what was sent to it since says anything new.
 
     Args:
-        hearing: What is heard of the target.
+        liveness: What is heard of the target.
         now: The present time, steady seconds.
-        work_s: Seconds of reading that are before an engine, for all entries.
+        backlog_s: Seconds of reading that are before an engine, for all entries.
     """
-    since = hearing.silent_since
-    busy_s = PLANNED_FACTOR * work_s
+    since = liveness.silent_since
+    busy_s = PLANNED_FACTOR * backlog_s
     return any(
-        now - max(hearing.heard_at, expected.since) > expected.within_s + busy_s
-        for expected in hearing.expected
+        now - max(liveness.heard_at, expected.since) > expected.silent_after_s + busy_s
+        for expected in liveness.expected
         if since is None or expected.since > since
     )
 
 
-def note_silent(hearing: Hearing, now: float) -> None:
+def note_silent(liveness: Liveness, now: float) -> None:
     """Take note that a target is silent."""
-    hearing.silent_since = now
+    liveness.silent_since = now
 
 
-def list_leaving(hearing: Hearing) -> list[Callable[[], None]]:
+def list_abandon_callbacks(liveness: Liveness) -> list[Callable[[], None]]:
     """List how the requests that may go elsewhere leave a silent target."""
-    return [e.leave for e in hearing.expected if e.leave is not None]
+    return [e.abandon for e in liveness.expected if e.abandon is not None]
 
 
-def list_ends(hearing: Hearing) -> list[Callable[[], None]]:
+def list_end_callbacks(liveness: Liveness) -> list[Callable[[], None]]:
     """List how the requests end that wait for a target whose life is over."""
-    return [e.end for e in hearing.expected if e.end is not None]
+    return [e.end for e in liveness.expected if e.end is not None]
 
 
-def list_lost(hearing: Hearing, now: float) -> list[Callable[[], None]]:
+def list_lost_callbacks(liveness: Liveness, now: float) -> list[Callable[[], None]]:
     """List how those leave whose answers must be lost, though the target is heard."""
     return [
-        expected.leave
-        for expected in hearing.expected
-        if expected.leave is not None and now - expected.since > expected.most_s
+        expected.abandon
+        for expected in liveness.expected
+        if expected.abandon is not None and now - expected.since > expected.lost_after_s
     ]
--- a/src/robinspindle/core/soundness.py
+++ b/src/robinspindle/core/soundness.py
@@ -8,7 +8,7 @@
 
 from robinspindle.core.crashnews import is_believable
 from robinspindle.core.eras import MOST_ERA
-from robinspindle.core.paces import Sums
+from robinspindle.core.prefillmodel import FitSums
 from robinspindle.core.sharing import Cache, Checked, Digest, Facts, Load, Placement
 from robinspindle.core.urgency import LEVELS
 from robinspindle.core.usage import is_account
@@ -90,6 +90,6 @@
     return all(0 <= tokens <= MOST_TOKENS for _, tokens in cache.parts)
 
 
-def _are_sums(sums: Sums) -> bool:
+def _are_sums(sums: FitSums) -> bool:
     values = (sums.weight, *sums.products, *sums.results)
     return all(0.0 <= value < MOST_SUM for value in values)
--- a/src/robinspindle/core/targets.py
+++ b/src/robinspindle/core/targets.py
@@ -8,8 +8,8 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from robinspindle.core.lives import find_id, is_later
-from robinspindle.core.silence import Hearing
+from robinspindle.core.lifetimes import find_id, is_later
+from robinspindle.core.silence import Liveness
 
 RETURN_S = 2.0
 """How long after the store's return entries that lapsed may still come back, seconds:
@@ -53,7 +53,7 @@
         announced: What the list says.
         in_flight: Requests of this entry that are under way there.
         failures: Broken connections in a row.
-        rested_until: Until when it is put aside, steady seconds.
+        backoff_until: Until when it is put aside, steady seconds.
         faults: Share of its latest answers that were faults, 0 to 1.
         full_until: Until when it is taken as full, steady seconds.
         gone_at: From when it is taken as gone, steady seconds; None while listed.
@@ -62,14 +62,14 @@
         switching_to: The role that it was ordered to take, empty for none.
         switching_until: Until when it may be away for that, steady seconds.
         cold_until: Until when it is slow from its start, steady seconds.
-        hearing: What is heard of it.
+        liveness: What is heard of it.
         refusals: Requests that it turned away since its last answer.
     """
 
     announced: Announcement
     in_flight: int = 0
     failures: int = 0
-    rested_until: float = 0.0
+    backoff_until: float = 0.0
     faults: float = 0.0
     full_until: float = 0.0
     gone_at: float | None = None
@@ -78,7 +78,7 @@
     switching_to: str = ""
     switching_until: float = 0.0
     cold_until: float = 0.0
-    hearing: Hearing = field(default_factory=Hearing)
+    liveness: Liveness = field(default_factory=Liveness)
     refusals: int = 0
 
 
@@ -89,44 +89,46 @@
     Attributes:
         targets: By lifetime.
         newest: The newest lifetime of each id that had an entry, latest last.
-        away_since: Since when the store has been away; None while it answers.
-        back_at: When the store last came back, steady seconds.
+        unavailable_since: Since when the store has been away; None while it answers.
+        recovered_at: When the store last came back, steady seconds.
         known: Whether the list has been read at all.
         read_at: When it was last read, steady seconds.
         over: Lifetimes that are over as far as is known, latest last.
         reads_copy: Whether entries are read from a copy that the store returned from,
             and may be older than what is known.
-        hold_s: How long a target whose entry went is still used where there is no
-            other, seconds; less than it may take to stop using a leaving one.
+        missing_grace_s: How long a target whose entry went is still used where there is
+            no other, seconds; less than it may take to stop using a leaving one.
     """
 
     targets: dict[str, Target] = field(default_factory=dict)
     newest: OrderedDict[str, str] = field(default_factory=OrderedDict)
-    away_since: float | None = None
-    back_at: float = -RETURN_S
+    unavailable_since: float | None = None
+    recovered_at: float = -RETURN_S
     known: bool = False
     read_at: float = 0.0
     over: OrderedDict[str, None] = field(default_factory=OrderedDict)
     reads_copy: bool = False
-    hold_s: float = 1.0
+    missing_grace_s: float = 1.0
 
 
 @dataclass(frozen=True)
-class Taken:
+class AnnouncementResult:
     """What became of a target's entry.
 
     Attributes:
-        is_outlived: Whether it speaks of a life that is over, and was passed over.
+        is_superseded: Whether it speaks of a life that is over, and was passed over.
         is_news: Whether it changes what is believed.
         ended: Earlier lifetimes of its id that are over by what it says.
     """
 
-    is_outlived: bool = False
+    is_superseded: bool = False
     is_news: bool = False
     ended: tuple[Target, ...] = ()
 
 
-def take_announced(directory: Directory, announced: Announcement, now: float) -> Taken:
+def apply_announcement(
+    directory: Directory, announced: Announcement, now: float
+) -> AnnouncementResult:
     """Take a target's entry in.
 
     Args:
@@ -134,18 +136,18 @@
         announced: What the entry says.
         now: The present time, steady seconds.
     """
-    if is_outlived(directory, announced.lifetime):
-        return Taken(is_outlived=True)
+    if is_superseded(directory, announced.lifetime):
+        return AnnouncementResult(is_superseded=True)
     if directory.reads_copy and _is_over(directory, announced.lifetime, now):
         # One that lives after all writes its entry again within a heartbeat.
-        return Taken(is_outlived=True)
+        return AnnouncementResult(is_superseded=True)
     directory.over.pop(announced.lifetime, None)
-    ended = end_earlier_lives(directory, announced.lifetime, now)
+    ended = end_earlier_lifetimes(directory, announced.lifetime, now)
     is_news = note_announced(directory, announced, now)
-    return Taken(is_news=is_news, ended=tuple(ended))
+    return AnnouncementResult(is_news=is_news, ended=tuple(ended))
 
 
-def is_outlived(directory: Directory, lifetime: str) -> bool:
+def is_superseded(directory: Directory, lifetime: str) -> bool:
     """Whether a target was known to have started again since a lifetime began."""
     newest = directory.newest.get(find_id(lifetime))
     return newest not in (None, lifetime) and not is_later(lifetime, newest)
@@ -182,7 +184,9 @@
     return changed
 
 
-def end_earlier_lives(directory: Directory, lifetime: str, now: float) -> list[Target]:
+def end_earlier_lifetimes(
+    directory: Directory, lifetime: str, now: float
+) -> list[Target]:
     """Take the earlier lifetimes of an id as gone, and return those that were not.
 
     Args:
@@ -231,7 +235,9 @@
     """
     missing = [t for t in list_lives(directory, id) if t.gone_at is None]
     for target in missing:
-        target.gone_at = max(now + directory.hold_s, directory.back_at + RETURN_S)
+        target.gone_at = max(
+            now + directory.missing_grace_s, directory.recovered_at + RETURN_S
+        )
     return bool(missing)
 
 
@@ -242,34 +248,34 @@
         directory.newest.popitem(last=False)
 
 
-def note_store_away(directory: Directory, now: float) -> bool:
+def note_store_unavailable(directory: Directory, now: float) -> bool:
     """Take note that the store does not answer; whether that is news."""
-    if directory.away_since is not None:
+    if directory.unavailable_since is not None:
         return False
-    directory.away_since = now
+    directory.unavailable_since = now
     return True
 
 
-def note_store_back(directory: Directory, now: float) -> bool:
+def note_store_recovered(directory: Directory, now: float) -> bool:
     """Take note that the store answers again; whether that is news."""
-    if directory.away_since is None:
+    if directory.unavailable_since is None:
         return False
-    directory.away_since = None
-    directory.back_at = now
+    directory.unavailable_since = None
+    directory.recovered_at = now
     return True
 
 
-def note_store_copy(directory: Directory, now: float) -> None:
+def note_store_restored(directory: Directory, now: float) -> None:
     """Take note that the store has returned from a copy.
 
     Entries that it lost are written again within `RETURN_S`; those of targets that have
     ended since are back in it for a while.
     """
-    directory.back_at = now
+    directory.recovered_at = now
     directory.reads_copy = True
 
 
-def note_copy_read(directory: Directory) -> None:
+def note_restored_list_read(directory: Directory) -> None:
     """Take note that all entries of the copy have been read."""
     directory.reads_copy = False
 
--- a/src/robinspindle/core/timeofday.py
+++ b/src/robinspindle/core/timeofday.py
@@ -18,7 +18,7 @@
 """With fewer clocks nobody can tell which of them is wrong."""
 
 
-MOST_WAY_S = 0.5
+MAX_CLOCK_AGE_S = 0.5
 """A clock is not compared if what it showed may be older than this, seconds: it lay in
 a buffer while nobody read it."""
 
@@ -27,7 +27,7 @@
 seconds, where its own clock jumps away from it."""
 
 
-def find_middle(own: float, others: Iterable[float]) -> float:
+def find_agreed_clock(own: float, others: Iterable[float]) -> float:
     """Find the clock that is believed, as seconds beyond the own steady clock.
 
     Args:
--- a/src/robinspindle/core/urgency.py
+++ b/src/robinspindle/core/urgency.py
@@ -21,26 +21,26 @@
 
 
 def find_level(
-    reading_s: float, aim_s: float, rank: int, follows_ranks: bool = True
+    prefill_s: float, latency_objective_s: float, rank: int, follows_ranks: bool = True
 ) -> int:
     """Find the level of a reading that can be in time.
 
     Args:
-        reading_s: How long it takes, seconds.
-        aim_s: The time in which the first event should come, seconds.
+        prefill_s: How long it takes, seconds.
+        latency_objective_s: The time in which the first event should come, seconds.
         rank: The operator's rank of its route; 0 is the highest.
         follows_ranks: Whether ranks count.
     """
-    if is_short(reading_s, aim_s):
+    if is_short(prefill_s, latency_objective_s):
         return SHORT
     if not follows_ranks:
         return FIRST_RANK
     return find_rank_level(rank)
 
 
-def is_short(reading_s: float, aim_s: float) -> bool:
+def is_short(prefill_s: float, latency_objective_s: float) -> bool:
     """Whether a reading is so short that it holds nobody up."""
-    return reading_s <= SHORT_SHARE * aim_s
+    return prefill_s <= SHORT_SHARE * latency_objective_s
 
 
 def find_rank_level(rank: int) -> int:
--- a/src/robinspindle/crashwatch.py
+++ b/src/robinspindle/crashwatch.py
@@ -158,7 +158,7 @@
         return target.announced.leaving or is_missing
 
     def _is_outlived(self, target: Target) -> bool:
-        return targets.is_outlived(self._directory, target.announced.lifetime)
+        return targets.is_superseded(self._directory, target.announced.lifetime)
 
 
 class Watched:
--- a/src/robinspindle/fleet.py
+++ b/src/robinspindle/fleet.py
@@ -1,10 +1,10 @@
 """The targets of one gateway: what is known of them, and the connections to them."""
 
-from robinspindle.core import health, paces, silence
-from robinspindle.core.engines import Engine, make_engine, note_held
+from robinspindle.core import health, prefillmodel, silence
+from robinspindle.core.engines import Engine, make_engine, note_earlier_cache
 from robinspindle.core.forwarding import Part
-from robinspindle.core.paces import Pace
-from robinspindle.core.routes import EngineShape, RouteTable
+from robinspindle.core.prefillmodel import PrefillModel
+from robinspindle.core.routes import EngineSpec, RouteTable
 from robinspindle.core.sharing import NEVER_HEARD_MS, Cache, Learnt, Load
 from robinspindle.core.targets import Directory, Target
 from robinspindle.gatewaysettings import HostPort
@@ -57,7 +57,7 @@
         self._decode_head = decode_head
         self._pools: dict[str, ConnectionPool] = {}
         self._engines: dict[str, Engine] = {}
-        self._paces: dict[tuple[str, bool], Pace] = {}
+        self._paces: dict[tuple[str, bool], PrefillModel] = {}
         self._told_caches: dict[str, list[Part]] = {}
 
     def list_usable(self, service: str, now: float, tried: set[str]) -> list[Target]:
@@ -76,48 +76,48 @@
         announced = target.announced
         if not announced.role:
             return None
-        reads_only = announced.role == READING
+        prefill_only = announced.role == READING
         engine = self._engines.get(announced.lifetime)
         if engine is None:
             engine = make_engine(
-                reads_only,
+                prefill_only,
                 self._count_cache_tokens(announced.service),
-                self.find_pace(announced.service, reads_only),
+                self.find_pace(announced.service, prefill_only),
             )
             self._engines[announced.lifetime] = engine
             engine.is_cache_known = self.knows_new_caches
             if announced.lifetime in self._told_caches:
-                note_held(engine, self._told_caches.pop(announced.lifetime))
-        if engine.reads_only != reads_only:
-            engine.reads_only = reads_only
-            engine.pace = self.find_pace(announced.service, reads_only)
+                note_earlier_cache(engine, self._told_caches.pop(announced.lifetime))
+        if engine.prefill_only != prefill_only:
+            engine.prefill_only = prefill_only
+            engine.prefill_model = self.find_pace(announced.service, prefill_only)
         return engine
 
-    def find_pace(self, service: str, reads_only: bool) -> Pace:
+    def find_pace(self, service: str, prefill_only: bool) -> PrefillModel:
         """Find how fast a service's engines read in a role."""
-        key = (service, reads_only)
+        key = (service, prefill_only)
         if key not in self._paces:
-            self._paces[key] = paces.make_pace(reads_only)
+            self._paces[key] = prefillmodel.make_prefill_model(prefill_only)
         return self._paces[key]
 
     def list_learnt(self) -> list[Learnt]:
         """List what this gateway has learnt of paces by itself."""
         return [
-            Learnt(service, reads_only, pace.own)
-            for (service, reads_only), pace in self._paces.items()
+            Learnt(service, prefill_only, pace.own)
+            for (service, prefill_only), pace in self._paces.items()
             if pace.own.weight > 0
         ]
 
     def note_learnt(self, peer: str, learnt: list[Learnt]) -> None:
         """Take note of what a peer has learnt of paces."""
         for told in learnt:
-            pace = self.find_pace(told.service, told.reads_only)
-            paces.note_told(pace, peer, told.sums)
+            pace = self.find_pace(told.service, told.prefill_only)
+            prefillmodel.note_peer_sums(pace, peer, told.sums)
 
     def forget_learnt(self, peer: str) -> None:
         """Forget what a peer that fell silent has told of paces."""
         for pace in self._paces.values():
-            paces.forget_told(pace, peer)
+            prefillmodel.forget_peer_sums(pace, peer)
 
     def find_engine_of(self, lifetime: str) -> Engine | None:
         """Find the engine of a lifetime, if it is known."""
@@ -161,7 +161,7 @@
         if engine is None:
             self._told_caches[cache.lifetime] = parts
         elif not engine.is_cache_known:
-            note_held(engine, parts)
+            note_earlier_cache(engine, parts)
 
     def note_heard_by_peer(self, loads: list[Load], now: float) -> None:
         """Take note of what a peer heard of engines that only read.
@@ -172,11 +172,11 @@
         """
         for load in loads:
             engine = self._engines.get(load.lifetime)
-            if engine is None or not engine.reads_only:
+            if engine is None or not engine.prefill_only:
                 continue
             target = self.directory.targets.get(load.lifetime)
             heard_at = now - load.heard_ms_ago / 1000
-            if target is not None and heard_at > target.hearing.heard_at:
+            if target is not None and heard_at > target.liveness.heard_at:
                 health.note_heard(target, heard_at)
 
     def list_engine_services(self) -> list[str]:
@@ -198,7 +198,7 @@
     def find_switch_s(self, service: str) -> float:
         """Find how long a change of role takes an engine away, seconds."""
         shape = self._find_shape(service)
-        return shape.switch_s if shape else 0.0
+        return shape.role_change_s if shape else 0.0
 
     def leave_silent(self, now: float) -> list[Target]:
         """Let what may go elsewhere leave targets that fell silent; return those."""
@@ -207,17 +207,17 @@
         ]
         for target in silent:
             health.note_silent(target, now)
-            for leave in silence.list_leaving(target.hearing):
+            for leave in silence.list_abandon_callbacks(target.liveness):
                 leave()
         for target in self.directory.targets.values():
-            for leave in silence.list_lost(target.hearing, now):
+            for leave in silence.list_lost_callbacks(target.liveness, now):
                 leave()
         return silent
 
     def _is_overdue(self, target: Target, now: float) -> bool:
         engine = self.find_engine(target)
-        work_s = engine.work_s if engine is not None else 0.0
-        return silence.is_overdue(target.hearing, now, work_s)
+        backlog_s = engine.backlog_s if engine is not None else 0.0
+        return silence.is_overdue(target.liveness, now, backlog_s)
 
     def note_pause(self, now: float) -> None:
         """Take note that nothing could be heard or done until now.
@@ -228,28 +228,30 @@
         for pool in self._pools.values():
             pool.close()
         for target in self.directory.targets.values():
-            silence.note_pause(target.hearing, now)
+            silence.note_pause(target.liveness, now)
 
     def list_silent(self, now: float) -> list[str]:
         """List the lifetimes that were found silent so lately that it is news."""
         return [
             lifetime
             for lifetime, target in self.directory.targets.items()
-            if target.hearing.silent_since is not None
-            and now - target.hearing.silent_since < SILENCE_NEWS_S
+            if target.liveness.silent_since is not None
+            and now - target.liveness.silent_since < SILENCE_NEWS_S
         ]
 
-    def note_told_silent(self, lifetimes: list[str], now: float) -> list[Target]:
+    def note_reported_silent(self, lifetimes: list[str], now: float) -> list[Target]:
         """Take note of targets that a peer found silent; return those believed."""
         found = (self.directory.targets.get(lifetime) for lifetime in lifetimes)
-        return [t for t in found if t is not None and health.note_told_silent(t, now)]
+        return [
+            t for t in found if t is not None and health.note_reported_silent(t, now)
+        ]
 
     def note_switching(self, lifetime: str, role: str, now: float) -> None:
         """Take note that a peer ordered an engine to take a role."""
         target = self.directory.targets.get(lifetime)
         if target is not None and not health.is_switching(target, now):
-            switch_s = self.find_switch_s(target.announced.service)
-            until = now + switch_s + health.SWITCH_SLACK_S
+            role_change_s = self.find_switch_s(target.announced.service)
+            until = now + role_change_s + health.SWITCH_SLACK_S
             health.note_switching(target, role, until)
 
     def find_pool(self, target: Target) -> ConnectionPool:
@@ -277,36 +279,36 @@
         shape = self._find_shape(service)
         return shape.event_tokens if shape else 1
 
-    def find_move_s(self, service: str) -> float | None:
+    def find_token_transfer_s(self, service: str) -> float | None:
         """Find how long a token takes from engine to engine, seconds; None: unknown."""
         shape = self._find_shape(service)
-        return shape.move_s if shape else None
+        return shape.token_transfer_s if shape else None
 
     def _count_connections(self, service: str) -> int:
         known = self.table.services.get(service) if self.table else None
-        return known.connections if known else DEFAULT_CONNECTIONS
+        return known.connection_limit if known else DEFAULT_CONNECTIONS
 
     def _count_cache_tokens(self, service: str) -> int:
         shape = self._find_shape(service)
         return shape.cache_tokens if shape else DEFAULT_CACHE_TOKENS
 
-    def _find_shape(self, service: str) -> EngineShape | None:
+    def _find_shape(self, service: str) -> EngineSpec | None:
         known = self.table.services.get(service) if self.table else None
         return known.engine if known else None
 
 
 def _is_news(target: Target, engine: Engine, now: float) -> bool:
     """Whether peers can use what this gateway knows of an engine."""
-    if target.in_flight or any(engine.own_work_s):
+    if target.in_flight or any(engine.own_backlog_s):
         return True
-    return engine.reads_only and now - target.hearing.heard_at < HEARD_NEWS_S
+    return engine.prefill_only and now - target.liveness.heard_at < HEARD_NEWS_S
 
 
 def _make_load(target: Target, engine: Engine, now: float) -> Load:
     return Load(
         target.announced.lifetime,
         target.in_flight,
-        [round(seconds * 1000) for seconds in engine.own_work_s],
-        engine.own_long,
-        round(min(NEVER_HEARD_MS, (now - target.hearing.heard_at) * 1000)),
+        [round(seconds * 1000) for seconds in engine.own_backlog_s],
+        engine.own_long_answers,
+        round(min(NEVER_HEARD_MS, (now - target.liveness.heard_at) * 1000)),
     )
--- a/src/robinspindle/gateway.py
+++ b/src/robinspindle/gateway.py
@@ -29,7 +29,7 @@
 from robinspindle.following import follow, note_new_era
 from robinspindle.gatewaymetrics import GatewayMetrics
 from robinspindle.gatewaysettings import GatewaySettings, HostPort
-from robinspindle.gauges import Measured, update_gauges
+from robinspindle.gauges import PrefillSample, update_gauges
 from robinspindle.guard import Guard
 from robinspindle.guardnews import list_news, take_news
 from robinspindle.httpserver import CallerServer, Incoming, Limits
@@ -243,7 +243,7 @@
         log("store returned from a copy", era=era)
         self.orderer.note_era(era)
         self.duties.note_era(era)
-        targets.note_store_copy(self.directory, self._clock())
+        targets.note_store_restored(self.directory, self._clock())
         self._introduction.note_era()
         for follower in self._followers:
             note_new_era(follower)
@@ -367,7 +367,7 @@
                 self.fleet.list_learnt(),
                 self.fleet.list_silent(now),
                 self._store_news.list_ends(),
-                self.directory.away_since is not None,
+                self.directory.unavailable_since is not None,
                 list_news(self.guard, now),
                 self._store.era or 0,
             )
@@ -395,8 +395,8 @@
         reply.write(body)
         reply.end()
 
-    def _list_measured(self) -> Measured:
-        return Measured(
+    def _list_measured(self) -> PrefillSample:
+        return PrefillSample(
             fleet=self.fleet,
             peers=self.peers,
             store=self._store,
@@ -433,13 +433,13 @@
             self._stop.go_on(now)
 
     def _note_silent(self, target: Target, now: float) -> None:
-        heard_at = target.hearing.heard_at
+        heard_at = target.liveness.heard_at
         log(
             "target is silent",
             target=target.announced.lifetime,
             heard_ms_ago=round((now - heard_at) * 1000) if heard_at > 0 else None,
-            expected=len(target.hearing.expected),
-            rests_ms=round((target.rested_until - now) * 1000),
+            expected=len(target.liveness.expected),
+            rests_ms=round((target.backoff_until - now) * 1000),
         )
 
     def begin_stop(self) -> None:
@@ -455,7 +455,7 @@
         pledges = settings.pledges
         self.peers.teaches = settings.policy.tells_caches
         self.orderer.may_change = settings.policy.changes_roles
-        self.directory.hold_s = pledges.leave_s * LEAVE_SHARE
+        self.directory.missing_grace_s = pledges.leave_s * LEAVE_SHARE
         self.freshness.limit_s = pledges.revoke_s
         self.freshness.apply_s = pledges.configuration_s
         self.budget.ratio = pledges.repeat_ratio
--- a/src/robinspindle/ordering.py
+++ b/src/robinspindle/ordering.py
@@ -165,10 +165,10 @@
             view.read_rates.get(service, 0.0) for view in self._peers.views.values()
         )
         history = self._histories.setdefault(service, RoleChangeHistory())
-        switch_s = self._fleet.find_switch_s(service)
+        role_change_s = self._fleet.find_switch_s(service)
         engines = self._fleet.list_engines(service, now)
         change = rebalancing.decide_role_change(
-            engines, rate, history, now, switch_s, pressure
+            engines, rate, history, now, role_change_s, pressure
         )
         if change is None or not may_claim(self.authority, now):
             return
@@ -186,7 +186,7 @@
             read_rate=round(rate, 2),
             pressure=round(pressure, 2),
             engines=len(engines),
-            readers=sum(engine.reads_only for _, engine in engines),
+            readers=sum(engine.prefill_only for _, engine in engines),
             long_answers=sum(engine.long_answers for _, engine in engines),
             targets=[target.announced.lifetime for target in change.targets],
             fence=claim.fence,
--- a/src/robinspindle/passing.py
+++ b/src/robinspindle/passing.py
@@ -17,7 +17,7 @@
 from robinspindle.core.events import take_events
 from robinspindle.core.forwarding import AnswerHead
 from robinspindle.core.lengths import LEAST_EVENTS
-from robinspindle.core.silence import Expectation
+from robinspindle.core.silence import ExpectedResponse
 from robinspindle.core.targets import Target
 from robinspindle.httpclient import ClientConnection, ConnectionBrokenError, Exchange
 from robinspindle.passages import Means, Passage
@@ -40,7 +40,7 @@
     head: AnswerHead
     exchange: Exchange
     connection: ClientConnection
-    expected: Expectation
+    expected: ExpectedResponse
 
 
 async def read_whole(means: Means, answer: Answer) -> bytes:
@@ -120,12 +120,12 @@
         note_pause(engine, pause_s, allowed_s)
         note_event(engine, now, pause_s)
 
-    engine.own_long += 1
+    engine.own_long_answers += 1
     first_at, first_events = means.clock(), passage.splitter.events
     try:
         await _pass_events(means, passage, answer, note_long)
     finally:
-        engine.own_long -= 1
+        engine.own_long_answers -= 1
         _note_pressure(means, passage, first_at, first_events)
 
 
@@ -165,8 +165,8 @@
     splitter.rest = b""
     expected = answer.expected
     first_at = means.clock()
-    expected.within_s = silence.find_event_patience(passage.route.gap_s)
-    expected.most_s = silence.find_most_patience(passage.route.gap_s)
+    expected.silent_after_s = silence.find_next_event_timeout(passage.route.gap_s)
+    expected.lost_after_s = silence.find_lost_timeout(passage.route.gap_s)
     last_at = expected.since = first_at
     while chunk := await answer.exchange.read_chunk():
         events = take_events(splitter, chunk)
--- a/src/robinspindle/peerfacts.py
+++ b/src/robinspindle/peerfacts.py
@@ -13,7 +13,7 @@
 from robinspindle.core.reports import Reports, note_acknowledged
 from robinspindle.core.sharing import Checked, Facts
 from robinspindle.core.soundness import MOST_AGE_MS
-from robinspindle.core.timeofday import MOST_WAY_S
+from robinspindle.core.timeofday import MAX_CLOCK_AGE_S
 from robinspindle.peers import Peers, list_heard
 from robinspindle.usagebook import UsageBook
 
@@ -66,7 +66,7 @@
         as_of = self.peers.sent_times.get(facts.seen)
         if as_of is not None:
             self._take_checked(facts, as_of)
-            if self.clock() - as_of <= MOST_WAY_S:
+            if self.clock() - as_of <= MAX_CLOCK_AGE_S:
                 own_s, agreed_s = facts.wall_ms / 1000, facts.agreed_ms / 1000
                 self.book.note_clock(sender, own_s, agreed_s)
         self.book.take(facts.counts)
--- a/src/robinspindle/peerlink.py
+++ b/src/robinspindle/peerlink.py
@@ -83,7 +83,7 @@
     def note_told_cache(self, cache: Cache) -> None:
         """Take note of what a peer believes a cache to hold."""
 
-    def note_told_silent(self, lifetimes: list[str], now: float) -> list[Target]:
+    def note_reported_silent(self, lifetimes: list[str], now: float) -> list[Target]:
         """Take note of targets that a peer found silent; return those believed."""
 
 
@@ -221,7 +221,7 @@
         fleet.note_heard_by_peer(digest.loads, now)
         for cache in digest.caches:
             fleet.note_told_cache(cache)
-        for target in fleet.note_told_silent(digest.silent, now):
+        for target in fleet.note_reported_silent(digest.silent, now):
             name = target.announced.lifetime
             self._log("target is silent for a peer", target=name, peer=author)
         for lifetime, role in digest.switching:
--- a/src/robinspindle/platform/dialect.py
+++ b/src/robinspindle/platform/dialect.py
@@ -13,7 +13,7 @@
     Send,
     Source,
 )
-from robinspindle.core.lives import find_id
+from robinspindle.core.lifetimes import find_id
 from robinspindle.exceptions import BadDocumentError
 
 ONE_CONNECTION = frozenset(
--- a/src/robinspindle/platform/documents.py
+++ b/src/robinspindle/platform/documents.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-from robinspindle.core.lives import is_id, make_lifetime
+from robinspindle.core.lifetimes import is_id, make_lifetime
 from robinspindle.core.routes import (
     AT_MOST_ONCE,
     IDEMPOTENT,
     STREAM,
     Backend,
     CallerLimits,
-    EngineShape,
+    EngineSpec,
     Route,
     RouteTable,
     Service,
@@ -242,7 +242,7 @@
         # What is not known to be repeatable runs at most once.
         kind=KINDS.get(route.kind, AT_MOST_ONCE),
         timeout_s=route.timeout_ms / 1000,
-        aim_s=route.target_latency_ms / 1000,
+        latency_objective_s=route.target_latency_ms / 1000,
         attempts=route.max_attempts,
         priority=route.priority,
         backends=backends,
@@ -285,13 +285,13 @@
 def _make_service(service: _Service) -> Service:
     engine = None
     if service.engine is not None:
-        engine = EngineShape(
+        engine = EngineSpec(
             slots=service.engine.slots,
             cache_tokens=service.engine.kv_capacity_tokens,
-            handle_s=service.engine.kv_hold_s,
-            switch_s=service.engine.role_switch_s,
+            kv_retention_s=service.engine.kv_hold_s,
+            role_change_s=service.engine.role_switch_s,
             event_tokens=max(1, service.engine.stride),
-            move_s=_find_move_s(service.engine),
+            token_transfer_s=_find_move_s(service.engine),
         )
     scaling = None
     if service.scaling is not None:
--- a/src/robinspindle/platform/orders.py
+++ b/src/robinspindle/platform/orders.py
@@ -1,6 +1,6 @@
 """Writes orders to engines and reads what they say to them."""
 
-from robinspindle.core.lives import find_id
+from robinspindle.core.lifetimes import find_id
 from robinspindle.ordering import Order, OrderOutcome
 from robinspindle.platform.jsoncalls import write_json_call
 
--- a/src/robinspindle/platform/store.py
+++ b/src/robinspindle/platform/store.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from robinspindle.calls import CallLimits, Transfer, call_once
-from robinspindle.core.eras import EraChange, compare_eras, read_era
+from robinspindle.core.eras import EraChange, compare_eras, parse_era
 from robinspindle.core.forwarding import AnswerHead
 from robinspindle.exceptions import (
     EraChangedError,
@@ -239,7 +239,7 @@
         value = next((v for n, v in head.headers if n.lower() == ERA_HEADER), None)
         if value is None:
             return
-        era = read_era(value)
+        era = parse_era(value)
         if era is None:
             self.unreadable_eras += 1
             return
--- a/src/robinspindle/readingapart.py
+++ b/src/robinspindle/readingapart.py
@@ -7,9 +7,9 @@
 from robinspindle.core.forwarding import AnswerHead, Source
 from robinspindle.core.reading import Plan
 from robinspindle.core.silence import (
-    Expectation,
-    find_answer_patience,
-    find_most_patience,
+    ExpectedResponse,
+    find_first_event_timeout,
+    find_lost_timeout,
 )
 from robinspindle.core.targets import Target
 from robinspindle.exceptions import BadDocumentError
@@ -106,17 +106,17 @@
                     means.guard.note_length(run)
                     return head, body
 
-    def _expect_reading(self, passage: Passage, exchange: Exchange) -> Expectation:
+    def _expect_reading(self, passage: Passage, exchange: Exchange) -> ExpectedResponse:
         """Expect a prompt to be read; it may always be read elsewhere instead."""
 
         def end() -> None:
             exchange.fail(ConnectionBrokenError("the reader started again"))
 
-        return Expectation(
+        return ExpectedResponse(
             since=self._means.clock(),
-            within_s=find_answer_patience(passage.plan.first_s),
-            leave=lambda: exchange.fail(ConnectionBrokenError("not read in time")),
-            most_s=find_most_patience(passage.plan.first_s),
+            silent_after_s=find_first_event_timeout(passage.plan.first_s),
+            abandon=lambda: exchange.fail(ConnectionBrokenError("not read in time")),
+            lost_after_s=find_lost_timeout(passage.plan.first_s),
             end=end,
         )
 
--- a/src/robinspindle/readings.py
+++ b/src/robinspindle/readings.py
@@ -2,14 +2,14 @@
 
 from robinspindle.core.engines import (
     Engine,
-    estimate_reading_s,
-    note_answered,
+    estimate_prefill_s,
+    is_useful_sample,
     note_placed,
-    note_read_begun,
-    note_waited,
-    tells_pace,
+    note_prefill_done,
+    note_prefill_start,
+    note_queued_prefill,
 )
-from robinspindle.core.paces import Measured
+from robinspindle.core.prefillmodel import PrefillSample
 from robinspindle.core.reading import Plan
 from robinspindle.core.sharing import Placement
 from robinspindle.core.targets import Target
@@ -35,7 +35,7 @@
         peers: Peers,
     ):
         self._engine = engine
-        self._seconds = plan.reading_s
+        self._seconds = plan.prefill_s
         self._note_change = peers.changed.set
         self._new = plan.unread
         self._context = tokens - plan.unread
@@ -45,10 +45,10 @@
         self._is_open = True
         # Waits are told apart from work by measuring only what met nobody else.
         self._learns = learns
-        self._was_alone = engine.work_s <= ALONE_S
+        self._was_alone = engine.backlog_s <= ALONE_S
         self._level = plan.level
-        engine.own_work_s[self._level] += self._seconds
-        note_read_begun(engine, now, self._seconds, self._level)
+        engine.own_backlog_s[self._level] += self._seconds
+        note_prefill_start(engine, now, self._seconds, self._level)
         self._placed = engine.placed
 
     def end(self, now: float) -> None:
@@ -63,17 +63,17 @@
         """Learn from how long the reading took, without what was fetched."""
         engine = self._engine
         was_alone = self._was_alone and engine.placed == self._placed
-        measured = Measured(self._new, self._context, seconds)
-        note_answered(engine, measured, was_alone)
+        measured = PrefillSample(self._new, self._context, seconds)
+        note_prefill_done(engine, measured, was_alone)
         if not was_alone and self._level < LATE:
-            reading_s = estimate_reading_s(engine, self._new, self._context)
-            note_waited(engine, seconds, self._wait_s + reading_s)
+            prefill_s = estimate_prefill_s(engine, self._new, self._context)
+            note_queued_prefill(engine, seconds, self._wait_s + prefill_s)
 
     def cancel(self) -> None:
         """Note that the prompt need not be read any more."""
         if self._is_open:
             self._is_open = False
-            levels = self._engine.own_work_s
+            levels = self._engine.own_backlog_s
             levels[self._level] = max(0.0, levels[self._level] - self._seconds)
             self._note_change()
 
@@ -105,14 +105,14 @@
         prompt = passage.request.prompt
         now = self._means.clock()
         learns = self._means.policy().learns_paces
-        learns = learns and tells_pace(engine, now - self._started_at)
+        learns = learns and is_useful_sample(engine, now - self._started_at)
         peers = self._means.peers
         begun = Reading(engine, plan, prompt.tokens, now, learns, peers)
-        note_placed(engine, prompt.parts, now + plan.wait_s + plan.reading_s)
+        note_placed(engine, prompt.parts, now + plan.wait_s + plan.prefill_s)
         counts.labels("read").inc(plan.unread)
         counts.labels("cached").inc(prompt.tokens - plan.unread)
         told = [(part.id, part.tokens) for part in prompt.parts]
-        work_ms = round(plan.reading_s * 1000)
+        work_ms = round(plan.prefill_s * 1000)
         placement = Placement(target.announced.lifetime, told, work_ms, plan.level)
         self.placements.append(placement)
         peers.changed.set()
--- a/src/robinspindle/relay.py
+++ b/src/robinspindle/relay.py
@@ -22,7 +22,7 @@
     find_route,
 )
 from robinspindle.core.sharing import Placement
-from robinspindle.core.silence import Expectation
+from robinspindle.core.silence import ExpectedResponse
 from robinspindle.core.targets import Target
 from robinspindle.core.urgency import LATE
 from robinspindle.crashwatch import Run
@@ -131,7 +131,7 @@
         route = find_route(table, request.host, request.path)
         if route is None:
             return forwarding.NO_ROUTE
-        permit = permits.find_permit(
+        permit = permits.authorize(
             table, route, request, means.freshness, means.clock()
         )
         if isinstance(permit, forwarding.Refusal):
@@ -159,7 +159,7 @@
             service,
             NamedRequest(request),
             forwarding.find_due(request, route),
-            request.received_at + route.aim_s - CALLER_WAY_S,
+            request.received_at + route.latency_objective_s - CALLER_WAY_S,
             forwarding.find_first_due(request, route),
             permit,
             find_rank(table, route, service, permit.workspace),
@@ -340,7 +340,7 @@
         at = passage.first_at if passage.is_stream else sent_at
         self._means.book.count(workspace.name, at)
 
-    def _expect_answer(self, passage: Passage, exchange: Exchange) -> Expectation:
+    def _expect_answer(self, passage: Passage, exchange: Exchange) -> ExpectedResponse:
         """Expect the first of an answer; leave a silent target if that is allowed."""
 
         def leave() -> None:
@@ -351,11 +351,11 @@
 
         route = passage.route
         may_leave = route.may_rerun and passage.runs + 1 < route.attempts
-        return Expectation(
+        return ExpectedResponse(
             since=self._means.clock(),
-            within_s=silence.find_answer_patience(passage.plan.first_s),
-            leave=leave if may_leave else None,
-            most_s=silence.find_most_patience(passage.plan.first_s),
+            silent_after_s=silence.find_first_event_timeout(passage.plan.first_s),
+            abandon=leave if may_leave else None,
+            lost_after_s=silence.find_lost_timeout(passage.plan.first_s),
             end=end,
         )
 
--- a/src/robinspindle/relaylogs.py
+++ b/src/robinspindle/relaylogs.py
@@ -46,7 +46,7 @@
             wait_ms=round(plan.wait_s * 1000, 1),
             first_ms=round(plan.first_s * 1000, 1),
             unread=plan.unread,
-            reading_ms=round(plan.reading_s * 1000, 1),
+            reading_ms=round(plan.prefill_s * 1000, 1),
             level=plan.level,
             slot_wait_ms=round(plan.slot_wait_s * 1000, 1),
             has_turn=passage.has_turn,
@@ -60,7 +60,7 @@
             list_age_ms=round((now - directory.read_at) * 1000),
             peers=len(self._means.peers.views),
             peers_age_ms=round(find_oldest_s(self._means.peers, now) * 1000),
-            store_away=directory.away_since is not None,
+            store_away=directory.unavailable_since is not None,
         )
 
     def _find_read_share(self, plan: Plan) -> float | None:
@@ -92,9 +92,9 @@
             unread=plan.unread if plan else None,
             level=plan.level if plan else None,
             prompt_length=prompt.tokens if prompt else None,
-            reading_ms=round(plan.reading_s * 1000, 1) if plan else None,
+            reading_ms=round(plan.prefill_s * 1000, 1) if plan else None,
             missing_share=round(plan.missing_share, 2) if plan else None,
-            aim_ms=round(passage.route.aim_s * 1000),
+            aim_ms=round(passage.route.latency_objective_s * 1000),
             gap_ms=round(passage.route.gap_s * 1000) if passage.is_stream else None,
             is_return=passage.is_return,
             offers=passage.offers,
--- a/src/robinspindle/sending.py
+++ b/src/robinspindle/sending.py
@@ -6,8 +6,8 @@
 
 from robinspindle.core import health, permits
 from robinspindle.core.forwarding import AnswerHead, Send, Source
-from robinspindle.core.lives import find_id
-from robinspindle.core.silence import Expectation
+from robinspindle.core.lifetimes import find_id
+from robinspindle.core.silence import ExpectedResponse
 from robinspindle.core.targets import Target
 from robinspindle.core.urgency import LATE, REQUEST_URGENCIES, find_rank_level
 from robinspindle.httpclient import (
@@ -56,13 +56,13 @@
 
 
 @contextmanager
-def expect(target: Target, expected: Expectation) -> Iterator[Expectation]:
+def expect(target: Target, expected: ExpectedResponse) -> Iterator[ExpectedResponse]:
     """Expect to hear of a target, for as long as a request is under way there."""
-    target.hearing.expected.add(expected)
+    target.liveness.expected.add(expected)
     try:
         yield expected
     finally:
-        target.hearing.expected.discard(expected)
+        target.liveness.expected.discard(expected)
 
 
 def make_send(
@@ -101,7 +101,7 @@
 
 def is_barred(means: Means, passage: Passage) -> bool:
     """Whether the key of a request was taken away while it waited; it is not sent."""
-    return permits.is_taken_away(means.fleet.table, passage.permit)
+    return permits.is_revoked(means.fleet.table, passage.permit)
 
 
 def make_stop(exchange: Exchange) -> Callable[[], None]:
--- a/src/robinspindle/usagebook.py
+++ b/src/robinspindle/usagebook.py
@@ -97,7 +97,7 @@
             self._agreed_at = now
         elif len(self.clocks) + 1 >= timeofday.LEAST_CLOCKS:
             others = [peer.own for peer in self.clocks.values()]
-            self.beyond = timeofday.find_middle(own, others)
+            self.beyond = timeofday.find_agreed_clock(own, others)
             self._agreed_at = now
         elif now - self._agreed_at <= timeofday.TRUST_S:
             self.beyond = timeofday.choose_clock(own, before)
--- a/standins/prompts.py
+++ b/standins/prompts.py
@@ -39,7 +39,7 @@
         name: Its name.
         per_s: Requests a second.
         rank: The operator's rank; 0 is the highest.
-        aim_s: The time in which the first event should come, seconds.
+        latency_objective_s: The time in which the first event should come, seconds.
         patience_s: When callers give up if no event has come, seconds.
         shared: Its shared parts in order: how long, and among how many.
         own: How long the part is that no other request has.
@@ -48,7 +48,7 @@
     name: str
     per_s: float
     rank: int
-    aim_s: float
+    latency_objective_s: float
     patience_s: float
     shared: tuple[tuple[Length, int], ...]
     own: Length
--- a/tests/core/generationplay.py
+++ b/tests/core/generationplay.py
@@ -168,7 +168,7 @@
         return gateway
 
     def _find_most_slot_wait_s(self, kind):
-        return kind.aim_s
+        return kind.latency_objective_s
 
     def run(self):
         for kind in self.kinds:
@@ -231,11 +231,11 @@
             yield self.env.timeout(self.load.news_s)
             for index in range(len(self.names)):
                 flights = [g.pairs[index][0].in_flight for g in self.gateways]
-                long = [g.pairs[index][1].own_long for g in self.gateways]
+                long = [g.pairs[index][1].own_long_answers for g in self.gateways]
                 for number, gateway in enumerate(self.gateways):
                     engine = gateway.pairs[index][1]
                     engine.peers_in_flight["others"] = sum(flights) - flights[number]
-                    engine.peers_long["others"] = sum(long) - long[number]
+                    engine.peers_long_answers["others"] = sum(long) - long[number]
 
     def _read_busily(self, where, busy_s):
         host = self.hosts[where]
@@ -259,7 +259,7 @@
         name = target.announced.lifetime
         engine = next(e for t, e in gateway.pairs if t is target)
         target.in_flight += 1
-        engine.own_long += is_long
+        engine.own_long_answers += is_long
         level = plan.level
         if plan.reader is not None and level == LATE:
             level = find_rank_level(kind.rank)
@@ -267,7 +267,7 @@
             name, engine, kind, prompt, REQUEST_URGENCIES[level], came_at,
             self._make_note(engine, kind, prompt, is_long, came_at),
         )  # fmt: skip
-        engine.own_long -= is_long
+        engine.own_long_answers -= is_long
         target.in_flight -= 1
         if plan.reader is not None and events.first_at is not None:
             seconds = events.first_at - read_at
@@ -359,7 +359,9 @@
     def _note_answer(self, kind, prompt, events, came_at, answers):
         outcome = self.outcome
         size = self._find_size(prompt)
-        in_time = events.is_whole and events.first_at - came_at <= kind.aim_s
+        in_time = (
+            events.is_whole and events.first_at - came_at <= kind.latency_objective_s
+        )
         if events.is_whole and events.longest_s > answers.gap_s:
             outcome.paused += 1
             in_time = False
--- a/tests/core/loadplay.py
+++ b/tests/core/loadplay.py
@@ -13,17 +13,17 @@
 
 from robinspindle.core.engines import (
     count_cached,
-    estimate_reading_s,
+    estimate_prefill_s,
     make_engine,
-    note_answered,
-    note_peer_work,
+    note_peer_backlog,
     note_placed,
-    note_read_begun,
-    note_waited,
+    note_prefill_done,
+    note_prefill_start,
+    note_queued_prefill,
 )
 from robinspindle.core.forwarding import Part, Prompt
 from robinspindle.core.hosting import choose_host
-from robinspindle.core.paces import Measured, make_pace
+from robinspindle.core.prefillmodel import PrefillSample, make_prefill_model
 from robinspindle.core.reading import (
     Situation,
     choose_plan,
@@ -57,7 +57,7 @@
         hosts: Engines that generate.
         gateways: Gateways, to which requests come at random.
         way_s: What a prompt takes to an engine and its answer back, seconds.
-        aim_s: The time in which the first event should come.
+        latency_objective_s: The time in which the first event should come.
         patience_s: When callers give up.
         news_s: Interval at which gateways hear of one another.
         documents: Shared documents among which prompts choose.
@@ -75,7 +75,7 @@
     hosts: int = 10
     gateways: int = 12
     way_s: float = 0.025
-    aim_s: float = 0.218
+    latency_objective_s: float = 0.218
     patience_s: float = 2.0
     news_s: float = 0.1
     documents: int = 2000
@@ -136,7 +136,7 @@
             name: make_engine(name[0] == "p", load.cache_tokens) for name in self.names
         }
         # Gateways tell each other what they learn of paces: one belief for all.
-        self.paces = {True: make_pace(True), False: make_pace(False)}
+        self.paces = {True: make_prefill_model(True), False: make_prefill_model(False)}
         self.placed = []
         self.gateways = [self._make_gateway() for _ in range(load.gateways)]
         self.kinds = load.kinds or (_make_only_kind(load),)
@@ -174,18 +174,18 @@
                     if gateway is not author:
                         engine = gateway.pairs[self.names.index(where)][1]
                         note_placed(engine, prompt.parts, self.env.now)
-                        note_read_begun(
-                            engine, self.env.now, plan.reading_s, plan.level
+                        note_prefill_start(
+                            engine, self.env.now, plan.prefill_s, plan.level
                         )
             self.placed.clear()
             for index in range(len(self.names)):
-                own = [g.pairs[index][1].own_work_s for g in self.gateways]
+                own = [g.pairs[index][1].own_backlog_s for g in self.gateways]
                 total = [sum(level) for level in zip(*own, strict=True)]
                 for gateway in self.gateways:
                     engine = gateway.pairs[index][1]
-                    mine = engine.own_work_s
+                    mine = engine.own_backlog_s
                     others = [t - m for t, m in zip(total, mine, strict=True)]
-                    note_peer_work(engine, "others", others)
+                    note_peer_backlog(engine, "others", others)
 
     def _make_prompt(self, kind):
         rng = self.rng
@@ -203,9 +203,9 @@
     def _describe(self, gateway, kind, prompt):
         """Describe what a choice depends on besides the engines."""
         return Situation(
-            self.env.now, kind.aim_s, kind.aim_s, 0.15, "a", rank=kind.rank,
-            has_exposed=False, begin_s=0.01, late_begin_s=0.01, move_s=1.2e-7,
-            age_s=self.load.news_s, rng=self.rng,
+            self.env.now, kind.latency_objective_s, kind.latency_objective_s, 0.15, "a",
+            rank=kind.rank, has_exposed=False, begin_s=0.01, late_begin_s=0.01,
+            token_transfer_s=1.2e-7, age_s=self.load.news_s, rng=self.rng,
         )  # fmt: skip
 
     def _find_most_slot_wait_s(self, kind):
@@ -231,24 +231,24 @@
         engines = {t.announced.lifetime: e for t, e in gateway.pairs}
         where = (plan.reader or plan.target).announced.lifetime
         engine = engines[where]
-        alone = engine.work_s <= 0.001
-        engine.own_work_s[plan.level] += plan.reading_s
-        note_read_begun(engine, env.now, plan.reading_s, plan.level)
+        alone = engine.backlog_s <= 0.001
+        engine.own_backlog_s[plan.level] += plan.prefill_s
+        note_prefill_start(engine, env.now, plan.prefill_s, plan.level)
         self.placed.append((gateway, where, prompt, plan))
         placed = engine.placed
-        note_placed(engine, prompt.parts, env.now + plan.wait_s + plan.reading_s)
+        note_placed(engine, prompt.parts, env.now + plan.wait_s + plan.prefill_s)
         yield from self._read(where, prompt, plan, came_at + kind.patience_s)
-        left = engine.own_work_s[plan.level] - plan.reading_s
-        engine.own_work_s[plan.level] = max(0.0, left)
-        outcome.believed_s += plan.reading_s
+        left = engine.own_backlog_s[plan.level] - plan.prefill_s
+        engine.own_backlog_s[plan.level] = max(0.0, left)
+        outcome.believed_s += plan.prefill_s
         seconds = env.now - came_at - plan.fetch_s
         context = prompt.tokens - plan.unread
-        measured = Measured(plan.unread, context, seconds)
+        measured = PrefillSample(plan.unread, context, seconds)
         was_alone = alone and engine.placed == placed
-        note_answered(engine, measured, was_alone)
+        note_prefill_done(engine, measured, was_alone)
         if not was_alone and plan.level < LATE:
-            reading_s = estimate_reading_s(engine, plan.unread, context)
-            note_waited(engine, seconds, plan.wait_s + reading_s)
+            prefill_s = estimate_prefill_s(engine, plan.unread, context)
+            note_queued_prefill(engine, seconds, plan.wait_s + prefill_s)
         yield from self._answer(gateway, kind, prompt, plan, came_at)
 
     def _answer(self, gateway, kind, prompt, plan, came_at):
@@ -293,7 +293,7 @@
         new = prompt.tokens - cached
         pairs_m = new * (cached + new / 2) / 1e6
         busy_s = new / self.load.tokens_per_s + pairs_m * PAIRS_S_PER_M
-        busy_s *= 1.0 if held.reads_only else HALF
+        busy_s *= 1.0 if held.prefill_only else HALF
         busy_s *= SLOW if where in self.load.slow else 1.0
         self.outcome.busy_s += busy_s
         return busy_s
@@ -301,7 +301,7 @@
     def _note_end(self, kind, prompt, taken_s):
         """Note how a request ended; it was refused if it took no time at all."""
         outcome = self.outcome
-        in_time = taken_s is not None and taken_s <= kind.aim_s
+        in_time = taken_s is not None and taken_s <= kind.latency_objective_s
         served = taken_s is not None and taken_s <= kind.patience_s
         if in_time:
             outcome.in_time += 1
@@ -317,5 +317,11 @@
 def _make_only_kind(load):
     """Describe the one kind of a load that names none."""
     return Kind(
-        "", load.per_s, 0, load.aim_s, load.patience_s, (), Length(1.0, 0.0, 1.0)
+        "",
+        load.per_s,
+        0,
+        load.latency_objective_s,
+        load.patience_s,
+        (),
+        Length(1.0, 0.0, 1.0),
     )
--- a/tests/core/test_answering.py
+++ b/tests/core/test_answering.py
@@ -5,14 +5,14 @@
 
 def test_beside_answers_an_engine_reads_only_a_share_of_their_pauses():
     engine = make_engine(False, 100_000)
-    allowed_s = engines.SHORT_READ_SHARE * 0.2
+    allowed_s = engines.SHORT_PREFILL_SHARE * 0.2
     assert answering.may_read_beside(engine, 0.0, allowed_s, 0.2)
     assert not answering.may_read_beside(engine, 0.0, allowed_s * 1.01, 0.2)
-    engine.peers_long["g2"] = 1
+    engine.peers_long_answers["g2"] = 1
     assert not answering.may_read_beside(engine, 0.0, allowed_s, 0.2)
-    allowed_s = engine.read_share * 0.2
+    allowed_s = engine.prefill_share * 0.2
     assert answering.may_read_beside(engine, 0.0, allowed_s, 0.2)
-    engines.note_read_begun(engine, 0.0, allowed_s, 1)
+    engines.note_prefill_start(engine, 0.0, allowed_s, 1)
     assert not answering.may_read_beside(engine, 0.1, 0.01, 0.2)
     assert answering.may_read_beside(engine, 0.3, 0.01, 0.2)
 
@@ -30,15 +30,15 @@
 
 def test_late_events_make_an_engine_read_less_and_good_ones_more():
     engine = make_engine(False, 100_000)
-    before = engine.read_share
+    before = engine.prefill_share
     answering.note_pause(engine, 0.14, 0.15)
-    assert engine.read_share < before
+    assert engine.prefill_share < before
     for _ in range(200):
         answering.note_pause(engine, 0.02, 0.15)
-    assert engine.read_share == answering.READ_SHARES[1]
+    assert engine.prefill_share == answering.READ_SHARES[1]
     for _ in range(200):
         answering.note_pause(engine, 0.5, 0.15)
-    assert engine.read_share == answering.READ_SHARES[0]
+    assert engine.prefill_share == answering.READ_SHARES[0]
 
 
 def test_what_is_read_beside_short_answers_follows_their_pauses():
@@ -51,7 +51,7 @@
     assert not answering.may_read_beside(engine, 1.0, 0.08, 0.15)
     for _ in range(100):
         answering.note_short_pause(engine, 0.05, 0.15)
-    assert engine.short_read_share == engines.SHORT_READ_SHARE
+    assert engine.short_prefill_share == engines.SHORT_PREFILL_SHARE
 
 
 def test_an_engine_whose_answers_get_no_event_reads_nothing_beside_them():
--- a/tests/core/test_digests.py
+++ b/tests/core/test_digests.py
@@ -2,7 +2,7 @@
 from hypothesis import strategies as st
 
 from robinspindle.core.digests import add_up, drop_told, join, leave_out
-from robinspindle.core.paces import Sums
+from robinspindle.core.prefillmodel import FitSums
 from robinspindle.core.sharing import Digest, Learnt, Load, Placement
 
 counts = st.integers(0, 50)
@@ -44,7 +44,7 @@
 
 
 def test_nobody_hears_its_own_placements_rates_and_paces():
-    sums = Sums(2.0, [1.0] * 6, [1.0] * 3)
+    sums = FitSums(2.0, [1.0] * 6, [1.0] * 3)
     mine, theirs = Placement("e1", [("aa", 5)], 10), Placement("e2", [("bb", 5)], 10)
     own = make("r", read_rates={"lm": 0.5}, learnt=[Learnt("lm", True, sums)])
     one = make(
--- a/tests/core/test_hosting.py
+++ b/tests/core/test_hosting.py
@@ -31,7 +31,7 @@
 def host_long_answers(event_s, now):
     """Choose a host: d1, the fuller one, makes an event in so long, d2 in 40 ms."""
     fleet = make_hosts(event_s, 0.04)
-    fleet[0][1].own_long = 3
+    fleet[0][1].own_long_answers = 3
     return name(choose_long_host(fleet, "a", now)[0])
 
 
@@ -68,7 +68,7 @@
 
 def test_the_longest_answers_go_where_events_come_fast_enough_for_them():
     fleet = make_hosts(0.08, 0.06)
-    fleet[0][1].own_long = 3
+    fleet[0][1].own_long_answers = 3
     short, long, longest = (
         find_most_event_s(Prompt("m", (), 220, 12_198, 57 * events), 57, 15.0)
         for events in (40, 150, 400)
@@ -84,7 +84,7 @@
 def test_an_answer_whose_length_nobody_guesses_goes_to_any_host():
     """By the most that it may hold it would always go to the fastest."""
     fleet = make_hosts(0.08, 0.06)
-    fleet[0][1].own_long = 3
+    fleet[0][1].own_long_answers = 3
     unknown = find_most_event_s(Prompt("m", (), 220, 12_198), 57, 15.0)
     assert name(choose_long_host(fleet, "a", 10.0, unknown)[0]) == "d1"
 
@@ -104,7 +104,7 @@
 
 def test_a_long_answer_goes_where_a_place_is_free():
     fleet = make_hosts(0.04, 0.04)
-    fleet[0][1].own_long = 3
+    fleet[0][1].own_long_answers = 3
     assert name(choose_long_host(fleet, "a", 10.0)[0]) == "d1"
     fleet[0][0].in_flight = 60
     answering.note_hold(fleet[0][1], 4.8)
@@ -128,7 +128,7 @@
 def test_answers_that_bear_a_slow_engine_leave_the_fast_ones_to_the_longest():
     longest_s = 15.0 / 214
     fleet = make_hosts(0.055, 0.11)
-    fleet[0][1].own_long = 3
+    fleet[0][1].own_long_answers = 3
     hosts = [
         name(choose_long_host(fleet, "a", 10.0, most_s, longest_s)[0])
         for most_s in (0.15, 0.08)
--- a/tests/core/test_lives.py
+++ b/tests/core/test_lifetimes.py
@@ -2,21 +2,21 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from robinspindle.core import health, lives, targets
-from robinspindle.core.lives import find_born_ms, find_id, is_later, make_lifetime
+from robinspindle.core import health, lifetimes, targets
+from robinspindle.core.lifetimes import find_id, find_start_ms, is_later, make_lifetime
 from robinspindle.core.targets import Announcement, Directory
 
 
 @given(st.text(max_size=300), st.none() | st.integers(0, 2**60))
 def test_an_id_and_its_start_are_found_again(id, born_ms):
-    if lives.is_id(id):
+    if lifetimes.is_id(id):
         lifetime = make_lifetime(id, born_ms)
-        assert (find_id(lifetime), find_born_ms(lifetime)) == (id, born_ms)
+        assert (find_id(lifetime), find_start_ms(lifetime)) == (id, born_ms)
 
 
 @pytest.mark.parametrize("id", ["", "a b", "a\r\nX-Model: m", "a@5", "é", "x" * 201])
 def test_what_would_not_be_one_word_on_the_wire_is_no_id(id):
-    assert not lives.is_id(id)
+    assert not lifetimes.is_id(id)
 
 
 @pytest.mark.parametrize(
@@ -31,7 +31,7 @@
 def announce(directory, born_ms, now=0.0, **more):
     lifetime = make_lifetime("i1", born_ms)
     announced = Announcement(lifetime, "s", "1.2.3.4:5", "a", 4, **more)
-    assert not targets.take_announced(directory, announced, now).is_outlived
+    assert not targets.apply_announcement(directory, announced, now).is_superseded
     return directory.targets[lifetime]
 
 
@@ -53,7 +53,7 @@
 
 
 def test_a_life_before_gets_no_work_from_when_the_new_one_is_known():
-    directory = Directory(hold_s=9.0)
+    directory = Directory(missing_grace_s=9.0)
     before = announce(directory, 5)
     announce(directory, 6, leaving=True, now=1.0)
     assert targets.is_gone(before, 1.0)
@@ -66,11 +66,11 @@
     announce(directory, 5)
     announce(directory, 6, now=1.0)
     targets.drop_gone(directory, 2.0)
-    assert targets.is_outlived(directory, lifetime)
+    assert targets.is_superseded(directory, lifetime)
 
 
 def test_a_missing_entry_stands_for_all_lives_of_its_id():
-    directory = Directory(hold_s=0.5)
+    directory = Directory(missing_grace_s=0.5)
     announce(directory, 5)
     assert targets.note_missing(directory, 10.0, "i1")
     assert not targets.note_missing(directory, 10.0, "i1")
--- a/tests/core/test_loadplay.py
+++ b/tests/core/test_loadplay.py
@@ -3,7 +3,7 @@
 import pytest
 
 from robinspindle.core import estimates, reading
-from robinspindle.core.engines import note_reading
+from robinspindle.core.engines import note_unqueued_prefill
 from tests.core import loadplay
 from tests.core.loadplay import Load, play
 
@@ -42,10 +42,10 @@
 
     def note_alone(engine, measured, was_alone):
         if was_alone:
-            note_reading(engine, measured)
+            note_unqueued_prefill(engine, measured)
 
-    monkeypatch.setattr(loadplay, "note_answered", note_alone)
-    monkeypatch.setattr(loadplay, "note_waited", lambda *_: None)
+    monkeypatch.setattr(loadplay, "note_prefill_done", note_alone)
+    monkeypatch.setattr(loadplay, "note_queued_prefill", lambda *_: None)
     assert share_in_time(550, gateways=1) < 0.7
 
 
@@ -55,7 +55,7 @@
     outcome = play(load)
     believed = outcome.believed_s / outcome.busy_s
     assert believed < 1.3
-    monkeypatch.setattr(estimates, "estimate_busy_s", estimates.estimate_reading_s)
+    monkeypatch.setattr(estimates, "estimate_busy_s", estimates.estimate_prefill_s)
     outcome = play(load)
     assert outcome.believed_s / outcome.busy_s > believed + 0.5
 
--- a/tests/core/test_paces.py
+++ b/tests/core/test_prefillmodel.py
@@ -4,15 +4,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from robinspindle.core import paces
-from robinspindle.core.paces import (
-    Measured,
-    Pace,
+from robinspindle.core import prefillmodel
+from robinspindle.core.prefillmodel import (
+    PrefillModel,
+    PrefillSample,
     estimate_seconds,
-    forget_told,
-    make_pace,
-    note_measured,
-    note_told,
+    forget_peer_sums,
+    make_prefill_model,
+    note_peer_sums,
+    note_sample,
 )
 
 READER = (0.006, 0.0156, 0.000647)
@@ -37,7 +37,7 @@
         seconds = take_seconds(true, new, context) * rng.lognormvariate(0.0, 0.1)
         if rng.random() < waits:
             seconds *= rng.uniform(1.0, 4.0)
-        note_measured(pace, Measured(new, context, seconds))
+        note_sample(pace, PrefillSample(new, context, seconds))
 
 
 def list_ratios(pace, true, seed=2):
@@ -57,13 +57,13 @@
 
 
 def test_nothing_is_read_in_no_time():
-    assert estimate_seconds(make_pace(True), 0, 5000) == 0.0
+    assert estimate_seconds(make_prefill_model(True), 0, 5000) == 0.0
 
 
 @pytest.mark.parametrize("factor", [0.5, 1.0, 2.0])
 def test_what_is_believed_first_hardly_counts_after_a_dozen_readings(factor):
-    first = paces.START_READING
-    pace = Pace((first[0] * factor, first[1] * factor, first[2]))
+    first = prefillmodel.INITIAL_PREFILL_ONLY
+    pace = PrefillModel((first[0] * factor, first[1] * factor, first[2]))
     learn(pace, READER, 12)
     assert_known(pace, READER)
 
@@ -76,17 +76,17 @@
     st.booleans(),
     st.integers(0, 1000),
 )
-def test_any_speed_is_learnt(constant, thousand, pairs_share, reads_only, seed):
+def test_any_speed_is_learnt(constant, thousand, pairs_share, prefill_only, seed):
     # Two orders of magnitude around today's fleets; pairs cost up to a twentieth of
     # what a token does for each 1,000 before it.
     true = (constant, thousand, thousand * pairs_share)
-    pace = make_pace(reads_only)
+    pace = make_prefill_model(prefill_only)
     learn(pace, true, 100, seed)
     assert_known(pace, true)
 
 
 def test_a_fleet_that_turns_slow_is_known_again():
-    pace = make_pace(True)
+    pace = make_prefill_model(True)
     learn(pace, READER, 200)
     slow = tuple(value * 4 for value in READER)
     learn(pace, slow, 300)
@@ -94,34 +94,38 @@
 
 
 def test_an_entry_that_starts_knows_what_the_others_tell():
-    teacher = make_pace(True)
+    teacher = make_prefill_model(True)
     learn(teacher, READER, 100)
-    pace = make_pace(True)
-    note_told(pace, "g2", teacher.own)
+    pace = make_prefill_model(True)
+    note_peer_sums(pace, "g2", teacher.own)
     assert_known(pace, READER)
-    forget_told(pace, "g2")
-    assert pace.fitted == pytest.approx(paces.START_READING, rel=0.01)
+    forget_peer_sums(pace, "g2")
+    assert pace.fitted == pytest.approx(prefillmodel.INITIAL_PREFILL_ONLY, rel=0.01)
 
 
 def test_the_newest_word_of_an_entry_replaces_its_older_one():
-    old, new, pace = make_pace(True), make_pace(True), make_pace(True)
+    old, new, pace = (
+        make_prefill_model(True),
+        make_prefill_model(True),
+        make_prefill_model(True),
+    )
     learn(old, tuple(value * 9 for value in READER), 100)
     learn(new, READER, 100)
-    note_told(pace, "g2", old.own)
-    note_told(pace, "g2", new.own)
+    note_peer_sums(pace, "g2", old.own)
+    note_peer_sums(pace, "g2", new.own)
     assert_known(pace, READER)
 
 
 def test_sums_of_another_version_are_passed_over():
-    pace = make_pace(True)
-    note_told(pace, "g2", paces.Sums(5.0, [1.0], [1.0]))
-    assert pace.told == {}
+    pace = make_prefill_model(True)
+    note_peer_sums(pace, "g2", prefillmodel.FitSums(5.0, [1.0], [1.0]))
+    assert pace.peer_sums == {}
 
 
 def test_readings_without_tokens_or_time_change_nothing():
-    pace = make_pace(True)
-    note_measured(pace, Measured(0, 0, 0.1))
-    note_measured(pace, Measured(100, 0, 0.0))
+    pace = make_prefill_model(True)
+    note_sample(pace, PrefillSample(0, 0, 0.1))
+    note_sample(pace, PrefillSample(100, 0, 0.0))
     assert pace.own.weight == 0.0
 
 
@@ -132,8 +136,8 @@
     )
 )
 def test_no_reading_is_believed_to_take_less_than_nothing(readings):
-    pace = make_pace(False)
+    pace = make_prefill_model(False)
     for new, context, seconds in readings:
-        note_measured(pace, Measured(new, context, seconds))
+        note_sample(pace, PrefillSample(new, context, seconds))
     assert min(pace.fitted) >= 0.0
     assert estimate_seconds(pace, 1000, 1000) >= 0.0
--- a/tests/core/test_reading.py
+++ b/tests/core/test_reading.py
@@ -4,7 +4,7 @@
 from robinspindle.core import answering, engines, reading
 from robinspindle.core.engines import make_engine
 from robinspindle.core.forwarding import Part, Prompt
-from robinspindle.core.paces import Pace
+from robinspindle.core.prefillmodel import PrefillModel
 from robinspindle.core.reading import Situation, choose_plan
 from robinspindle.core.targets import Announcement, Target
 from robinspindle.core.urgency import LATE, SHORT, find_rank_level
@@ -15,12 +15,12 @@
 CALM = Situation(0.0, 0.2, 0.2, 0.15, "a")
 PATIENCE_S = 2.0
 LONG = dataclasses.replace(CALM, is_long=True)
-LINKED = dataclasses.replace(CALM, move_s=1.2e-7)
+LINKED = dataclasses.replace(CALM, token_transfer_s=1.2e-7)
 
 
 PACES = {
-    "prefill": Pace((0.0, 0.004, 0.0)),
-    "decode": Pace((0.0, 0.01, 0.0)),
+    "prefill": PrefillModel((0.0, 0.004, 0.0)),
+    "decode": PrefillModel((0.0, 0.01, 0.0)),
 }
 """Engines that read 250,000 and 100,000 tokens a second."""
 
@@ -57,7 +57,7 @@
 def test_it_goes_elsewhere_when_it_would_be_late_there():
     fleet = make_fleet()
     engines.note_placed(fleet[1][1], DIGEST.parts[:2])
-    fleet[1][1].own_work_s[1] = 0.3
+    fleet[1][1].own_backlog_s[1] = 0.3
     assert name(choose_plan(fleet, DIGEST, CALM).reader) != "p2"
 
 
@@ -72,16 +72,16 @@
     fleet = make_fleet()
     engine = fleet[3][1]
     engines.note_placed(engine, DIGEST.parts[:2])
-    engine.own_long = 4
-    engine.read_share = 0.15
+    engine.own_long_answers = 4
+    engine.prefill_share = 0.15
     assert choose_plan(fleet, DIGEST, CALM).reader is not None
 
 
 def test_long_answers_come_together_until_an_engine_has_its_share():
     fleet = make_fleet()
-    fleet[3][1].own_long = 3
+    fleet[3][1].own_long_answers = 3
     assert name(choose_plan(fleet, CHAT, LONG).target) == "d2"
-    fleet[3][1].own_long = 20
+    fleet[3][1].own_long_answers = 20
     assert name(choose_plan(fleet, CHAT, LONG).target) != "d2"
 
 
@@ -110,7 +110,7 @@
 def plan_behind(wait_s, held=()):
     fleet = [make_pair("p1", "prefill"), make_pair("d1", "decode")]
     for _, engine in fleet:
-        engine.own_work_s[1] = wait_s
+        engine.own_backlog_s[1] = wait_s
         engines.note_placed(engine, held)
     return choose_plan(fleet, DIGEST, CALM)
 
@@ -118,7 +118,7 @@
 def test_what_can_be_in_time_waits_for_nothing_that_is_late():
     fleet = [make_pair("p1", "prefill"), make_pair("d1", "decode")]
     for _, engine in fleet:
-        engine.own_work_s[LATE] = 5.0
+        engine.own_backlog_s[LATE] = 5.0
     plan = choose_plan(fleet, DIGEST, CALM)
     assert plan.level < LATE
     assert plan.first_s < 0.1
@@ -148,7 +148,7 @@
     first, second = (dataclasses.replace(CALM, rank=rank) for rank in (0, 2))
     fleet = [make_pair("p1", "prefill"), make_pair("d1", "decode")]
     for _, engine in fleet:
-        engine.own_work_s[3] = 0.05
+        engine.own_backlog_s[3] = 0.05
     plan, other = (choose_plan(fleet, DIGEST, at) for at in (first, second))
     assert plan.level < other.level
     assert plan.wait_s == 0.0
@@ -159,8 +159,8 @@
     fleet = make_fleet()
     engines.note_placed(fleet[3][1], DIGEST.parts[:2])
     for _, engine in fleet[2:]:
-        engine.own_long = 4
-        engine.read_share = 0.05
+        engine.own_long_answers = 4
+        engine.prefill_share = 0.05
     plan = choose_plan(fleet, DIGEST, LINKED)
     assert name(plan.reader).startswith("p")
     assert (name(plan.holder), plan.unread) == ("d2", 2900)
@@ -169,9 +169,9 @@
 def test_nothing_is_fetched_over_a_link_that_is_slower_than_reading():
     fleet = make_fleet()
     engines.note_placed(fleet[3][1], DIGEST.parts[:2])
-    fleet[3][1].own_long = 4
-    fleet[3][1].read_share = 0.05
-    slow = dataclasses.replace(LINKED, move_s=1e-5)
+    fleet[3][1].own_long_answers = 4
+    fleet[3][1].prefill_share = 0.05
+    slow = dataclasses.replace(LINKED, token_transfer_s=1e-5)
     plan = choose_plan(fleet, DIGEST, slow)
     assert (plan.holder, plan.unread) == (None, 9200)
 
@@ -191,7 +191,7 @@
 
 def test_entries_that_know_the_same_do_not_all_choose_the_same_engine():
     fleet = make_fleet()
-    fleet[0][1].own_work_s[1] = 0.004
+    fleet[0][1].own_backlog_s[1] = 0.004
     stale = dataclasses.replace(CALM, age_s=0.1, rng=random.Random(1))
     found = [name(choose_plan(fleet, DIGEST, stale).reader) for _ in range(40)]
     assert 10 < found.count("p2") < 40
@@ -212,7 +212,7 @@
 def test_beside_answers_without_pauses_an_engine_reads_what_is_cheapest():
     fleet = make_fleet()[2:4]
     for _, engine in fleet:
-        engines.note_read_begun(engine, 0.0, 0.08, 1)
+        engines.note_prefill_start(engine, 0.0, 0.08, 1)
     engines.note_placed(fleet[0][1], DIGEST.parts[:2])
     held = dataclasses.replace(CALM, has_exposed=False)
     assert name(choose_plan(fleet, DIGEST, held).target) == "d1"
@@ -221,7 +221,7 @@
 def test_a_long_answer_that_would_begin_too_late_is_hopeless_too():
     """77 of 88 prompts waited 2.6 s in vain, planned to begin after 5 to 31 s."""
     fleet = [make_pair("d1", "decode")]
-    fleet[0][1].own_work_s[0] = 3.0
+    fleet[0][1].own_backlog_s[0] = 3.0
     plan = choose_plan(fleet, CHAT, LONG)
     assert plan.level < LATE
     assert reading.is_hopeless(plan, PATIENCE_S)
@@ -232,8 +232,8 @@
     """Read at the host in any case: 0.15 in time at four times the load, else 0.24."""
     fleet = make_fleet()
     for _, engine in fleet[2:]:
-        engine.own_long = 4
-        engine.read_share = 0.05
+        engine.own_long_answers = 4
+        engine.prefill_share = 0.05
     plan = choose_plan(fleet, DIGEST, LONG)
     assert name(plan.reader).startswith("p")
     assert choose_plan(fleet, CHAT, LONG).reader is None
--- a/tests/core/test_rebalancing.py
+++ b/tests/core/test_rebalancing.py
@@ -22,7 +22,7 @@
         role = PREFILL_ROLE if number < prefill_engines else DECODE_ROLE
         announced = Announcement(f"i{number}", "s", "x:1", "a", 48, role=role)
         engine = make_engine(role == PREFILL_ROLE, 1000)
-        engine.own_long = 0 if role == PREFILL_ROLE else long_answers
+        engine.own_long_answers = 0 if role == PREFILL_ROLE else long_answers
         fleet.append((Target(announced), engine))
     return fleet
 
@@ -43,7 +43,7 @@
 
 def test_decode_engine_without_answers_changes_to_prefill():
     fleet = make_fleet(long_answers=5)
-    fleet[4][1].own_long = 0
+    fleet[4][1].own_long_answers = 0
     change = decide(fleet, 1.5)
     assert (change.role, list_lifetimes(change)) == (PREFILL_ROLE, ["i4"])
 
--- a/tests/core/test_rebalancing_simulation.py
+++ b/tests/core/test_rebalancing_simulation.py
@@ -78,7 +78,7 @@
         return [
             (target, engine)
             for target, engine in self.pairs
-            if engine.reads_only is is_prefill
+            if engine.prefill_only is is_prefill
             and target.announced.lifetime not in self.away.keys() | self.lost
         ]
 
@@ -148,7 +148,7 @@
     fleet.answers += [now + ANSWER_S] * begun
     fleet.answers_served += begun
     for _, engine in decode_engines:
-        engine.own_long = len(fleet.answers) // len(decode_engines)
+        engine.own_long_answers = len(fleet.answers) // len(decode_engines)
 
 
 def change_roles(fleet, demand, history, now):
@@ -163,8 +163,8 @@
     for target in change.targets:
         lifetime = target.announced.lifetime
         fleet.away[lifetime] = now + SWITCH_S
-        engines[lifetime].reads_only = change.role == rebalancing.PREFILL_ROLE
-        engines[lifetime].own_long = 0
+        engines[lifetime].prefill_only = change.role == rebalancing.PREFILL_ROLE
+        engines[lifetime].own_long_answers = 0
 
 
 PROMPTS = (Burst(11.8, 5.0, 16.0, 30.0),)
--- a/tests/core/test_sharing.py
+++ b/tests/core/test_sharing.py
@@ -1,4 +1,4 @@
-from robinspindle.core.engines import Begun, make_engine
+from robinspindle.core.engines import PrefillStart, make_engine
 from robinspindle.core.sharing import (
     SILENCE_S,
     Digest,
@@ -24,9 +24,13 @@
         peers, make(1, loads=[Load("e1", 9, [0, 900, 0, 0, 0, 0])]), 0.0, engines.get
     )
     engine = engines["e1"]
-    assert (engine.work_s, engine.others_in_flight, engine.long_answers) == (0.07, 1, 1)
+    assert (engine.backlog_s, engine.others_in_flight, engine.long_answers) == (
+        0.07,
+        1,
+        1,
+    )
     assert take_digest(peers, make(3), 0.0, engines.get)
-    assert (engine.work_s, engine.others_in_flight, engine.long_answers) == (0, 0, 0)
+    assert (engine.backlog_s, engine.others_in_flight, engine.long_answers) == (0, 0, 0)
 
 
 def test_a_restarted_peer_begins_anew():
@@ -34,7 +38,7 @@
     peers = {}
     take_digest(peers, make(900, loads=[Load("e1", 1, WORK)]), 0.0, engines.get)
     assert take_digest(peers, make(1, started=2.0), 0.1, engines.get)
-    assert engines["e1"].work_s == 0
+    assert engines["e1"].backlog_s == 0
 
 
 def test_placements_are_believed_and_unknown_targets_passed_over():
@@ -42,7 +46,7 @@
     placements = [Placement("e1", [("a", 100)], 60, 2), Placement("e9", [("a", 100)])]
     take_digest({}, make(placements=placements), 0.0, engines.get)
     assert engines["e1"].cached == {"a": 100}
-    assert list(engines["e1"].recent) == [Begun(0.0, 0.06, 2)]
+    assert list(engines["e1"].recent_prefills) == [PrefillStart(0.0, 0.06, 2)]
 
 
 def test_a_silent_peer_has_nothing_under_way():
@@ -51,7 +55,7 @@
     take_digest(peers, make(loads=[Load("e1", 1, WORK)]), 0.0, engines.get)
     assert forget_silent(peers, SILENCE_S, engines.get) == []
     assert forget_silent(peers, SILENCE_S + 0.1, engines.get) == ["g2"]
-    assert engines["e1"].work_s == 0
+    assert engines["e1"].backlog_s == 0
 
 
 def test_the_first_two_tell_a_newcomer_what_caches_hold():
--- a/tests/core/test_silence.py
+++ b/tests/core/test_silence.py
@@ -1,5 +1,5 @@
 from robinspindle.core import health, silence
-from robinspindle.core.silence import Expectation, Hearing
+from robinspindle.core.silence import ExpectedResponse, Liveness
 from robinspindle.core.targets import Announcement, Target
 
 
@@ -8,21 +8,21 @@
 
 
 def test_a_target_of_which_nothing_is_expected_is_not_silent():
-    assert not silence.is_overdue(Hearing(heard_at=0.0), 100.0)
+    assert not silence.is_overdue(Liveness(heard_at=0.0), 100.0)
 
 
 def test_what_is_heard_of_one_request_excuses_the_others():
-    hearing = Hearing(expected={Expectation(0.0, 0.6)})
-    silence.note_heard(hearing, 0.5)
-    assert not silence.is_overdue(hearing, 1.0)
-    assert silence.is_overdue(hearing, 1.2)
+    liveness = Liveness(expected={ExpectedResponse(0.0, 0.6)})
+    silence.note_heard(liveness, 0.5)
+    assert not silence.is_overdue(liveness, 1.0)
+    assert silence.is_overdue(liveness, 1.2)
 
 
 def test_an_engine_may_be_quiet_for_as_long_as_it_has_to_read():
-    hearing = Hearing(expected={Expectation(0.0, 0.6)})
-    assert silence.is_overdue(hearing, 1.0)
-    assert not silence.is_overdue(hearing, 1.0, work_s=0.3)
-    assert silence.is_overdue(hearing, 1.3, work_s=0.3)
+    liveness = Liveness(expected={ExpectedResponse(0.0, 0.6)})
+    assert silence.is_overdue(liveness, 1.0)
+    assert not silence.is_overdue(liveness, 1.0, backlog_s=0.3)
+    assert silence.is_overdue(liveness, 1.3, backlog_s=0.3)
 
 
 def test_a_silent_target_rests_and_is_used_again_when_it_is_heard():
@@ -31,63 +31,63 @@
     assert not health.is_healthy(target, 1.1)
     health.note_heard(target, 1.2)
     assert health.is_healthy(target, 1.2)
-    assert target.hearing.silent_since is None
+    assert target.liveness.silent_since is None
 
 
 def test_old_news_does_not_wake_a_silent_target():
     target = make_target()
     health.note_silent(target, 1.0)
     health.note_heard(target, 0.4)
-    assert target.hearing.silent_since == 1.0
+    assert target.liveness.silent_since == 1.0
     assert not health.is_healthy(target, 1.1)
 
 
 def test_of_a_silent_target_only_what_was_sent_since_says_anything_new():
-    hearing = Hearing(expected={Expectation(0.0, 0.6)})
-    silence.note_silent(hearing, 1.0)
-    assert not silence.is_overdue(hearing, 5.0)
-    hearing.expected.add(Expectation(2.0, 0.6))
-    assert silence.is_overdue(hearing, 5.0)
+    liveness = Liveness(expected={ExpectedResponse(0.0, 0.6)})
+    silence.note_silent(liveness, 1.0)
+    assert not silence.is_overdue(liveness, 5.0)
+    liveness.expected.add(ExpectedResponse(2.0, 0.6))
+    assert silence.is_overdue(liveness, 5.0)
 
 
 def test_a_peers_word_counts_unless_the_target_was_heard_since():
     target = make_target()
-    target.hearing.heard_at = 1.0
-    assert not health.note_told_silent(target, 1.5)
+    target.liveness.heard_at = 1.0
+    assert not health.note_reported_silent(target, 1.5)
     assert health.is_healthy(target, 1.5)
-    assert health.note_told_silent(target, 1.7)
+    assert health.note_reported_silent(target, 1.7)
     assert not health.is_healthy(target, 1.7)
 
 
 def test_requests_that_may_go_elsewhere_are_listed():
     left = []
-    hearing = Hearing()
-    hearing.expected = {
-        Expectation(0.0, 0.6),
-        Expectation(0.0, 0.6, lambda: left.append("resumable")),
+    liveness = Liveness()
+    liveness.expected = {
+        ExpectedResponse(0.0, 0.6),
+        ExpectedResponse(0.0, 0.6, lambda: left.append("resumable")),
     }
-    for leave in silence.list_leaving(hearing):
+    for leave in silence.list_abandon_callbacks(liveness):
         leave()
     assert left == ["resumable"]
 
 
 def test_what_is_expected_grows_with_what_was_planned():
-    assert silence.find_answer_patience(0.01) == silence.LEAST_SILENCE_S
-    assert silence.find_answer_patience(1.0) == 2.0
-    assert silence.find_event_patience(0.1) == silence.LEAST_SILENCE_S
-    assert silence.find_event_patience(1.0) == 2.5
+    assert silence.find_first_event_timeout(0.01) == silence.MIN_SILENCE_S
+    assert silence.find_first_event_timeout(1.0) == 2.0
+    assert silence.find_next_event_timeout(0.1) == silence.MIN_SILENCE_S
+    assert silence.find_next_event_timeout(1.0) == 2.5
 
 
 def test_an_answer_that_is_long_overdue_is_lost_though_its_target_is_heard():
     left = []
-    hearing = Hearing(heard_at=9.9)
-    hearing.expected = {
-        Expectation(0.0, 99.0, lambda: left.append("lost"), most_s=1.0),
-        Expectation(9.5, 99.0, lambda: left.append("young"), most_s=1.0),
-        Expectation(0.0, 99.0, None, most_s=1.0),
+    liveness = Liveness(heard_at=9.9)
+    liveness.expected = {
+        ExpectedResponse(0.0, 99.0, lambda: left.append("lost"), lost_after_s=1.0),
+        ExpectedResponse(9.5, 99.0, lambda: left.append("young"), lost_after_s=1.0),
+        ExpectedResponse(0.0, 99.0, None, lost_after_s=1.0),
     }
-    assert not silence.is_overdue(hearing, 10.0)
-    for leave in silence.list_lost(hearing, 10.0):
+    assert not silence.is_overdue(liveness, 10.0)
+    for leave in silence.list_lost_callbacks(liveness, 10.0):
         leave()
     assert left == ["lost"]
-    assert silence.find_most_patience(0.2) > silence.find_answer_patience(0.2)
+    assert silence.find_lost_timeout(0.2) > silence.find_first_event_timeout(0.2)
--- a/tests/core/test_soundness.py
+++ b/tests/core/test_soundness.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from robinspindle.core.paces import Sums
+from robinspindle.core.prefillmodel import FitSums
 from robinspindle.core.sharing import Cache, Digest, Learnt, Load, Placement
 from robinspindle.core.soundness import find_fault
 
@@ -13,7 +13,7 @@
     [Load("e1", 1, [0] * 6)],
     [Placement("e1", [("aa", 5)], 10)],
     {"lm": 0.5},
-    learnt=[Learnt("lm", True, Sums(1.0, [1.0] * 6, [1.0] * 3))],
+    learnt=[Learnt("lm", True, FitSums(1.0, [1.0] * 6, [1.0] * 3))],
     caches=[Cache("e1", [("aa", 5)])],
 )
 
@@ -43,7 +43,7 @@
         {"placements": [Placement("e1", [], 0, 6)]},
         {"read_rates": {"lm": math.inf}},
         {"read_rates": {"lm": -1.0}},
-        {"learnt": [Learnt("lm", True, Sums(math.nan, [1.0] * 6, [1.0] * 3))]},
+        {"learnt": [Learnt("lm", True, FitSums(math.nan, [1.0] * 6, [1.0] * 3))]},
         {"caches": [Cache("e1", [("aa", -1)])]},
     ],
 )
--- a/tests/core/test_targets.py
+++ b/tests/core/test_targets.py
@@ -31,7 +31,7 @@
 
 
 def test_a_missing_target_is_used_only_where_there_is_no_other_and_then_dropped():
-    directory = Directory(hold_s=0.7)
+    directory = Directory(missing_grace_s=0.7)
     announce(directory, "i1")
     announce(directory, "i2")
     targets.note_missing(directory, 10.0, "i1")
@@ -42,11 +42,11 @@
 
 
 def test_a_lapsed_entry_counts_until_two_seconds_after_the_stores_return():
-    directory = Directory(hold_s=0.7)
+    directory = Directory(missing_grace_s=0.7)
     announce(directory)
-    assert targets.note_store_away(directory, 5.0)
-    assert not targets.note_store_away(directory, 6.0)
-    assert targets.note_store_back(directory, 20.0)
+    assert targets.note_store_unavailable(directory, 5.0)
+    assert not targets.note_store_unavailable(directory, 6.0)
+    assert targets.note_store_recovered(directory, 20.0)
     targets.note_missing(directory, 20.0, "i1")
     assert usable(directory, 21.9) == ["i1"]
     assert usable(directory, 22.0) == []
@@ -63,7 +63,7 @@
     assert usable(directory, 0.1) == ["i1", "i2"]
     health.note_broken(bad, 0.1)
     assert usable(directory, 0.2) == ["i2"]
-    assert usable(directory, 0.2 + health.MOST_REST_S) == ["i1", "i2"]
+    assert usable(directory, 0.2 + health.MAX_BACKOFF_S) == ["i1", "i2"]
 
 
 def test_a_target_at_whose_address_nobody_listens_rests_at_once():
@@ -107,7 +107,7 @@
     target = directory.targets["i1"]
     for now in sorted(times):
         health.note_broken(target, now)
-        assert target.rested_until <= now + health.MOST_REST_S
+        assert target.backoff_until <= now + health.MAX_BACKOFF_S
 
 
 def test_a_target_is_slow_for_as_long_as_its_entry_says():
@@ -128,9 +128,9 @@
     for _ in range(8):
         health.note_full(target, 0.0)
         rests.append(target.full_until)
-    assert rests[0] == health.FULL_REST_S
+    assert rests[0] == health.FIRST_FULL_BACKOFF_S
     assert rests == sorted(rests)
-    assert rests[-1] == health.MOST_FULL_REST_S
+    assert rests[-1] == health.MAX_FULL_BACKOFF_S
     health.note_answered(target)
     health.note_full(target, 10.0)
-    assert target.full_until == 10.0 + health.FULL_REST_S
+    assert target.full_until == 10.0 + health.FIRST_FULL_BACKOFF_S
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -18,7 +18,7 @@
 def test_a_configuration_is_decoded_with_its_units():
     table = decode(make_configuration(version=7))
     route = find_route(table, HOST, "/digest/x")
-    assert (table.version, route.timeout_s, route.aim_s) == (7, 5.0, 1.0)
+    assert (table.version, route.timeout_s, route.latency_objective_s) == (7, 5.0, 1.0)
     assert route.may_rerun
     assert table.services["lm"].engine.cache_tokens == 100000
     assert table.limits.idle_s == 15.0
@@ -27,10 +27,10 @@
 def test_how_long_a_token_moves_from_engine_to_engine():
     value = make_configuration()
     engine = value["Services"][1]["Engine"]
-    assert decode(value).services["lm"].engine.move_s is None
+    assert decode(value).services["lm"].engine.token_transfer_s is None
     engine |= {"KvTokenBytes": 131072, "LinkMbps": 8800000.0}
-    move_s = decode(value).services["lm"].engine.move_s
-    assert move_s == pytest.approx(131072 * 8 / 8.8e12)
+    token_transfer_s = decode(value).services["lm"].engine.token_transfer_s
+    assert token_transfer_s == pytest.approx(131072 * 8 / 8.8e12)
 
 
 def test_fields_that_are_not_known_are_passed_over():
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -51,10 +51,10 @@
             for trouble in ("busy", "reset"):
                 d.store.trouble = trouble
                 d.store.server.reset_all()
-                await until(lambda: d.gateway.directory.away_since is not None)
+                await until(lambda: d.gateway.directory.unavailable_since is not None)
                 assert (await d.call("/once/x", id=trouble)).status == 200
                 d.store.trouble = ""
-                await until(lambda: d.gateway.directory.away_since is None)
+                await until(lambda: d.gateway.directory.unavailable_since is None)
             await d.configure(version=9)
             assert len(replica.arrivals) == 2
 
@@ -67,12 +67,12 @@
             await d.add("i1")
             d.store.trouble = "busy"
             d.store.server.reset_all()
-            await until(lambda: d.gateway.directory.away_since is not None)
+            await until(lambda: d.gateway.directory.unavailable_since is not None)
             await d.store.put("keyed.servers", "i1", None)
             d.store.trouble = ""
             target = d.gateway.directory.targets["i1"]
             await until(lambda: target.gone_at is not None)
-            assert target.gone_at >= d.gateway.directory.back_at + 2.0
+            assert target.gone_at >= d.gateway.directory.recovered_at + 2.0
             assert (await d.call("/once/x")).status == 200
 
     run(play())
@@ -85,7 +85,7 @@
             await d.add("i2")
             d.store.trouble = "busy"
             d.store.server.reset_all()
-            await until(lambda: d.gateway.directory.away_since is not None)
+            await until(lambda: d.gateway.directory.unavailable_since is not None)
             d.store.drop_silently("keyed.servers", "i1")
             await d.store.put("keyed.servers", "i3", d.replicas["i2"].describe())
             d.store.compact("keyed.servers")
@@ -189,9 +189,9 @@
             data = encode(Bundle("gateway-2", [digest]))
             sender.sendto(data, ("127.0.0.1", d.inner_port))
             sender.close()
-            await until(lambda: engine.work_s > 0)
+            await until(lambda: engine.backlog_s > 0)
             assert engine.cached == {"aa": 4000}
-            await until(lambda: engine.work_s == 0)
+            await until(lambda: engine.backlog_s == 0)
 
     run(play())
 
@@ -206,7 +206,7 @@
             gateway.reload()
             assert gateway.settings.pledges.leave_s == 1.0
             assert gateway.budget.ratio == 0.1
-            assert gateway.directory.hold_s < 0.5
+            assert gateway.directory.missing_grace_s < 0.5
 
             def fail():
                 raise InvalidDocumentError([Finding("f", "", "Node", 0, "is required")])
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -222,7 +222,7 @@
             assert (await reply).is_whole
             assert len(silent.arrivals) == 1
             target = d.gateway.directory.targets["t1"]
-            assert target.hearing.silent_since is not None
+            assert target.liveness.silent_since is not None
             # It rests, so the next request goes straight to the other.
             assert (await d.call(path, id="r2", **prompt)).is_whole
             assert len(silent.arrivals) == 1
--- a/tests/platform/test_prompts.py
+++ b/tests/platform/test_prompts.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from robinspindle.core import paces
-from robinspindle.core.paces import Measured
+from robinspindle.core import prefillmodel
+from robinspindle.core.prefillmodel import PrefillSample
 from tests.platform.deployment import (
     deploy,
     make_configuration,
@@ -42,7 +42,7 @@
             assert (await d.call("/digest/x", **prompt)).is_whole
             first, second = sorted(readers, key=lambda r: len(r.arrivals), reverse=True)
             for busy in (first, host):
-                d.gateway.fleet.find_engine_of(busy.lifetime).own_work_s[0] += 0.6
+                d.gateway.fleet.find_engine_of(busy.lifetime).own_backlog_s[0] += 0.6
             prompt = d.prompt(parts="aa:4000,bb:4000,dd:2000", tokens=10000)
             assert (await d.call("/digest/x", id="r2", **prompt)).is_whole
             (arrival,) = second.arrivals
@@ -78,12 +78,12 @@
             # Readings take 2 s, so the reader's silence is none yet.
             pace = d.gateway.fleet.find_pace("lm", True)
             for _ in range(50):
-                paces.note_measured(pace, Measured(2000, 0, 0.4))
+                prefillmodel.note_sample(pace, PrefillSample(2000, 0, 0.4))
             reader = await d.add("p1", "lm", "prefill")
             leaving = await d.add("d1", "lm", "decode")
             for _ in range(50):
                 host_pace = d.gateway.fleet.find_pace("lm", False)
-                paces.note_measured(host_pace, Measured(2000, 0, 0.8))
+                prefillmodel.note_sample(host_pace, PrefillSample(2000, 0, 0.8))
             reader.behaviours.append("held")
             prompt = d.prompt(parts="aa:4000,bb:4000,cc:2000", tokens=10000)
             reply = asyncio.create_task(d.call("/digest/x", **prompt))
--- a/tests/platform/test_restarts.py
+++ b/tests/platform/test_restarts.py
@@ -59,7 +59,7 @@
             await begin_life(d, "i1", 6)
             engine = fleet.find_engine_of("i1@6")
             assert not engine.cached
-            assert engine.work_s == 0.0
+            assert engine.backlog_s == 0.0
 
     run(play())
 
@@ -112,7 +112,7 @@
             await begin_life(d, "i1", 5)
             fleet = d.gateway.fleet
             assert fleet.find_engine_of("i1@6") is None
-            assert fleet.note_told_silent(["i1@6"], d.gateway._clock()) == []
+            assert fleet.note_reported_silent(["i1@6"], d.gateway._clock()) == []
             fleet.note_switching("i1@6", "prefill", d.gateway._clock())
             assert list_usable(d) == ["i1@5"]
             fleet.find_engine_of("i1@5").cached["aa"] = Part("aa", 5).tokens
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -6,8 +6,8 @@
 import pytest
 
 from robinspindle.clocks import PauseWatch, make_loop, read_clocks, read_steady
-from robinspindle.core.pauses import Clocks, Pause, find_pause
-from robinspindle.core.silence import Expectation
+from robinspindle.core.pauses import ClockReadings, Pause, detect_pause
+from robinspindle.core.silence import ExpectedResponse
 from tests.platform.deployment import deploy, run, until
 
 
@@ -30,7 +30,9 @@
     ],
 )
 def test_a_pause_is_told_from_a_wait(steady, running, asked_s, pause):
-    found = find_pause(Clocks(10.0, 5.0), Clocks(steady, running), asked_s)
+    found = detect_pause(
+        ClockReadings(10.0, 5.0), ClockReadings(steady, running), asked_s
+    )
     if pause is None:
         assert found is None
     else:
@@ -39,7 +41,7 @@
 
 
 def test_a_suspension_while_the_loop_is_at_work_is_told_before_its_next_wait():
-    looks = [Clocks(1.0, 1.0), Clocks(1.1, 1.1), Clocks(8.1, 1.1)]
+    looks = [ClockReadings(1.0, 1.0), ClockReadings(1.1, 1.1), ClockReadings(8.1, 1.1)]
     watch, told = PauseWatch(lambda: looks.pop(0)), []
     watch.note = told.append
     watch.begin_wait()
@@ -55,7 +57,7 @@
 
     def read():
         clocks = read_clocks()
-        return Clocks(clocks.steady + skipped[0], clocks.running)
+        return ClockReadings(clocks.steady + skipped[0], clocks.running)
 
     watch = PauseWatch(read)
     watch.note = lambda pause: order.append("told")
@@ -96,8 +98,8 @@
             await d.add("push0")
             (target,) = d.gateway.directory.targets.values()
             now = d.gateway._clock()
-            expected = Expectation(since=now - 5.0, within_s=0.6)
-            target.hearing.expected.add(expected)
+            expected = ExpectedResponse(since=now - 5.0, silent_after_s=0.6)
+            target.liveness.expected.add(expected)
             d.gateway.note_pause(Pause(5.0, True))
             assert d.gateway.fleet.leave_silent(now) == []
             assert d.gateway.fleet.leave_silent(now + 1.0) == [target]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,5 +1,5 @@
 from robinspindle.core import health, targets
-from robinspindle.core.routes import CallerLimits, EngineShape, Service, make_table
+from robinspindle.core.routes import CallerLimits, EngineSpec, Service, make_table
 from robinspindle.core.targets import Announcement, Directory
 from robinspindle.fleet import Fleet
 from robinspindle.platform.dialect import decode_answer
@@ -7,7 +7,7 @@
 
 def make_fleet():
     fleet = Fleet(Directory(), decode_answer)
-    engine = EngineShape(8, 5000, 5.0, 3.0)
+    engine = EngineSpec(8, 5000, 5.0, 3.0)
     services = [Service("lm", "/h", 80, engine), Service("push", "/h", 80)]
     fleet.table = make_table(1, [], services, CallerLimits())
     announce(fleet, "d1", "decode")
@@ -31,7 +31,7 @@
     assert names(fleet, 0.1) == ["p1"]
     announce(fleet, "d1", "prefill")
     assert names(fleet, 0.2) == ["d1", "p1"]
-    assert fleet.find_engine_of("d1").reads_only
+    assert fleet.find_engine_of("d1").prefill_only
 
 
 def test_an_order_that_has_no_effect_is_given_up_and_may_be_given_again():
@@ -62,7 +62,7 @@
     fleet = make_fleet()
     engine = fleet.find_engine_of("p1")
     fleet.find_engine_of("d1")
-    engine.own_work_s[1] = 0.7
+    engine.own_backlog_s[1] = 0.7
     assert [(load.lifetime, load.work_ms) for load in fleet.list_loads(0.0)] == [
         ("p1", [0, 700, 0, 0, 0, 0])
     ]
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -2,7 +2,7 @@
 from types import SimpleNamespace
 
 from robinspindle.core import silence
-from robinspindle.core.silence import Expectation
+from robinspindle.core.silence import ExpectedResponse
 from robinspindle.core.targets import Announcement, Target
 from robinspindle.httpclient import Exchange
 from robinspindle.passing import Answer, read_whole
@@ -14,22 +14,22 @@
 def test_a_body_that_takes_long_to_arrive_is_no_silence_and_not_lost():
     """It was asked for again elsewhere 0.8 s after it had been sent."""
     left, times = [], iter(PIECE_S * n for n in range(20))
-    expected = Expectation(
+    expected = ExpectedResponse(
         since=0.0,
-        within_s=silence.find_answer_patience(0.0),
-        leave=lambda: left.append("left"),
-        most_s=silence.find_most_patience(0.0),
+        silent_after_s=silence.find_first_event_timeout(0.0),
+        abandon=lambda: left.append("left"),
+        lost_after_s=silence.find_lost_timeout(0.0),
     )
     target = Target(Announcement("i1", "push", "127.0.0.1:1", "a", 1))
-    target.hearing.expected.add(expected)
+    target.liveness.expected.add(expected)
     now = 0.0
 
     def clock():
         nonlocal now
         # Housekeeping looks just before each piece is noted.
         now = next(times)
-        assert not silence.is_overdue(target.hearing, now)
-        for leave in silence.list_lost(target.hearing, now):
+        assert not silence.is_overdue(target.liveness, now)
+        for leave in silence.list_lost_callbacks(target.liveness, now):
             leave()
         return now
 
@@ -47,5 +47,5 @@
         assert await reading == b"xxxxxx"
 
     asyncio.run(play())
-    assert now > expected.most_s
+    assert now > expected.lost_after_s
     assert not left
--- a/tests/test_peerlink.py
+++ b/tests/test_peerlink.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from robinspindle.core.engines import note_held
+from robinspindle.core.engines import note_earlier_cache
 from robinspindle.core.forwarding import Part
-from robinspindle.core.paces import Measured, estimate_seconds, note_measured
+from robinspindle.core.prefillmodel import PrefillSample, estimate_seconds, note_sample
 from robinspindle.core.relays import PATIENCE_S, Member
 from robinspindle.core.sharing import (
     RELAY_SILENCE_S,
@@ -84,8 +84,8 @@
             self._network.now, News(news.pop("loads", []), **{"placements": [], **news})
         )
 
-    def sum_work(self, lifetime="e1"):
-        return round(sum(self.fleet.find_engine_of(lifetime).peers_sum_s), 3)
+    def sum_backlog_s(self, lifetime="e1"):
+        return round(sum(self.fleet.find_engine_of(lifetime).peers_backlog_s), 3)
 
 
 class Network:
@@ -150,7 +150,7 @@
     network.step(loads, times=5)
     total = sum(loads.values())
     for number in range(12):
-        assert network[number].sum_work() == (total - loads[number]) / 1000
+        assert network[number].sum_backlog_s() == (total - loads[number]) / 1000
     assert network[5].peers.choice.relay == "g1"
     assert list_heard(network[5].peers) == sorted(f"g{n}" for n in range(12) if n != 5)
 
@@ -185,7 +185,7 @@
     steps = round(max(PATIENCE_S, RELAY_SILENCE_S) / STEP_S) + 5
     network.step(loads, times=steps)
     assert {network[n].peers.choice.relay for n in (3, 5, 7)} == {"g3"}
-    assert [network[n].sum_work() for n in (0, 2, 3, 5, 7)] == [0.06] * 5
+    assert [network[n].sum_backlog_s() for n in (0, 2, 3, 5, 7)] == [0.06] * 5
 
 
 def test_a_relay_that_comes_back_takes_over_again_and_nothing_counts_twice():
@@ -197,7 +197,7 @@
     network.cut.clear()
     network.step(loads, times=60)
     assert {network[n].peers.choice.relay for n in (1, 3, 5, 7)} == {"g1"}
-    assert [network[n].sum_work() for n in range(8)] == [0.07] * 8
+    assert [network[n].sum_backlog_s() for n in range(8)] == [0.07] * 8
 
 
 def test_a_cut_zone_goes_on_by_itself_and_forgets_the_others():
@@ -206,7 +206,7 @@
     network.step(loads, times=5)
     network.cut = {f"10.0.0.{n}" for n in (0, 2, 4, 6)}
     network.step(loads, times=20)
-    assert [network[n].sum_work() for n in (1, 3, 5, 7)] == [0.03] * 4
+    assert [network[n].sum_backlog_s() for n in (1, 3, 5, 7)] == [0.03] * 4
 
 
 def test_strangers_and_unsound_digests_are_counted_and_change_nothing():
@@ -222,9 +222,9 @@
     receive(encode(Bundle("g2", [good]))[:-3], ("10.0.0.2", 7000))
     receive(b"no datagram of ours", ("10.0.0.2", 7000))
     assert gateway.peers.refused == 5
-    assert gateway.sum_work() == 0.0
+    assert gateway.sum_backlog_s() == 0.0
     receive(encode(Bundle("g2", [good])), ("10.0.0.2", 7000))
-    assert gateway.sum_work() == 0.05
+    assert gateway.sum_backlog_s() == 0.05
 
 
 def test_digests_of_an_older_life_or_that_come_late_are_passed_over():
@@ -238,9 +238,9 @@
     receive(2.0, 5, 50)
     receive(2.0, 4, 900)
     receive(1.0, 99, 900)
-    assert gateway.sum_work() == 0.05
+    assert gateway.sum_backlog_s() == 0.05
     receive(3.0, 1, 20)
-    assert gateway.sum_work() == 0.02
+    assert gateway.sum_backlog_s() == 0.02
 
 
 def test_a_bundle_that_is_too_large_is_told_in_two_datagrams():
@@ -272,7 +272,7 @@
 def test_what_was_learnt_of_paces_reaches_all_and_is_forgotten_with_its_author():
     network = Network(6)
     teacher, learner = network[4].fleet, network[5].fleet
-    note_measured(teacher.find_pace("lm", True), Measured(3000, 0, 0.3))
+    note_sample(teacher.find_pace("lm", True), PrefillSample(3000, 0, 0.3))
     usual_s = estimate_seconds(learner.find_pace("lm", True), 3000, 0)
     for _ in range(round(4 * LEARNT_INTERVAL_S / STEP_S) + 3):
         network[4].tell(learnt=teacher.list_learnt())
@@ -282,7 +282,9 @@
     assert estimate_seconds(learner.find_pace("lm", True), 3000, 0) > 2 * usual_s
     # Its own readings do not come back to who made them.
     assert teacher.find_pace("lm", True).own.weight == 1.0
-    assert all(s.weight < 1e-9 for s in teacher.find_pace("lm", True).told.values())
+    assert all(
+        s.weight < 1e-9 for s in teacher.find_pace("lm", True).peer_sums.values()
+    )
     network.cut = {f"10.0.0.{n}" for n in range(5)}
     network.now += 2.0
     learner_link = network[5].link
@@ -295,7 +297,9 @@
     network.step(times=round(NEWCOMER_S / STEP_S) + 2)
     for gateway in network.gateways.values():
         for lifetime in ENGINES:
-            note_held(gateway.fleet.find_engine_of(lifetime), [Part("aa", 400)])
+            note_earlier_cache(
+                gateway.fleet.find_engine_of(lifetime), [Part("aa", 400)]
+            )
     member = network.members[5]
     newcomer = Gateway(network, member, started=2.0)
     network.gateways[member.host] = newcomer
@@ -314,7 +318,7 @@
     network = Network(6)
     network.step(times=3)
     asked = network[4]
-    note_held(asked.fleet.find_engine_of("e1"), [Part("aa", 400)])
+    note_earlier_cache(asked.fleet.find_engine_of("e1"), [Part("aa", 400)])
     asked.peers.spread_caches = ["e1"]
     network.step(times=4)
     for number in (0, 1, 2, 3, 5):
--- a/tests/test_readings.py
+++ b/tests/test_readings.py
@@ -13,10 +13,10 @@
 
 from types import SimpleNamespace
 
-from robinspindle.core.engines import make_engine, note_held
+from robinspindle.core.engines import make_engine, note_earlier_cache
 from robinspindle.core.forwarding import Part, Prompt
-from robinspindle.core.paces import estimate_seconds
 from robinspindle.core.policy import Policy
+from robinspindle.core.prefillmodel import estimate_seconds
 from robinspindle.core.reading import Plan
 from robinspindle.readings import Readings
 
@@ -48,23 +48,23 @@
         now[0] = up_s + 0.3 * number
         work = readings.begin(passage, target, engine, plan)
         work.end(now[0] + 0.0029)
-    return estimate_seconds(engine.pace, 1912, 0)
+    return estimate_seconds(engine.prefill_model, 1912, 0)
 
 
 def test_what_a_cache_may_hold_already_teaches_no_pace():
     engine = make_engine(False, 100_000)
-    before = estimate_seconds(engine.pace, 1912, 0)
+    before = estimate_seconds(engine.prefill_model, 1912, 0)
     assert read_cached(engine, up_s=0.0) == before
 
 
 def test_a_cache_that_was_told_is_learnt_from_at_once():
     engine = make_engine(False, 100_000)
-    note_held(engine, [Part("s", 200)])
-    before = estimate_seconds(engine.pace, 1912, 0)
+    note_earlier_cache(engine, [Part("s", 200)])
+    before = estimate_seconds(engine.prefill_model, 1912, 0)
     assert read_cached(engine, up_s=0.0) < before / 2
 
 
 def test_a_cache_of_which_nothing_is_told_is_learnt_from_in_the_end():
     engine = make_engine(False, 100_000)
-    before = estimate_seconds(engine.pace, 1912, 0)
+    before = estimate_seconds(engine.prefill_model, 1912, 0)
     assert read_cached(engine, up_s=10.0) < before / 2
