--- a/fuzz/dutymutants.py
+++ b/fuzz/dutymutants.py
@@ -2,9 +2,9 @@
 
 from fuzz.mutants import Mutant
 from robinspindle import dutylog
-from robinspindle.core import authority, reports, timeofday, usage
+from robinspindle.core import authority, timeofday, usage, usagereports
 from robinspindle.core.authority import Claim
-from robinspindle.core.reports import Record, Stage
+from robinspindle.core.usagereports import Record, Stage
 
 
 def _add_counts(right):
@@ -13,8 +13,8 @@
     def take(ledger, accounts):
         for account in accounts:
             for workspace, count in account.counts.items():
-                place = usage.Place(
-                    account.gateway, account.life, account.window, workspace
+                place = usage.CountKey(
+                    account.gateway, account.incarnation, account.window, workspace
                 )
                 usage._set(ledger, place, usage._read(ledger, place) + count)
 
@@ -27,7 +27,7 @@
     async def append(self, key, window, counts):
         name, end = self.authority.name, self.authority.end
         record = Record(name, end + 1, end, window, counts)
-        reports.take_record(self.reports, record)
+        usagereports.take_record(self.reports, record)
         self.claim = Claim(end + 1, self._clock(), self.authority.era)
 
     return append
@@ -75,16 +75,16 @@
 
 
 DUTY_MUTANTS = (
-    Mutant("add counts up twice", usage, "take_accounts", _add_counts),
+    Mutant("add counts up twice", usage, "merge_accounts", _add_counts),
     Mutant("send before storing", dutylog.DutyLog, "append", _keep_in_memory),
     Mutant("store over another", dutylog.DutyLog, "append", _append_anyhow),
     Mutant("use old fences", dutylog, "make_fence", lambda r: lambda era, at: 1),
     Mutant("claim without waiting", authority, "may_claim", lambda r: lambda *_: True),
     Mutant("use a claim for ever", authority, "may_use", lambda r: lambda *_: True),
     Mutant("take all for confirmed", usage, "note_confirmed", _confirm_all),
-    Mutant("decide anew", reports, "find_stage", _decide_anew),
-    Mutant("decide at once", reports, "DECIDE_SHARE", lambda r: -0.05),
-    Mutant("report nothing late", reports, "list_due", lambda r: lambda *_: []),
+    Mutant("decide anew", usagereports, "find_stage", _decide_anew),
+    Mutant("decide at once", usagereports, "DECIDE_SHARE", lambda r: -0.05),
+    Mutant("report nothing late", usagereports, "list_due", lambda r: lambda *_: []),
     Mutant(
         "believe a set clock", timeofday, "choose_clock", lambda r: lambda own, _: own
     ),
--- a/fuzz/dutyworld.py
+++ b/fuzz/dutyworld.py
@@ -15,8 +15,8 @@
 from robinspindle.core.authority import Authority
 from robinspindle.core.freshness import Freshness
 from robinspindle.core.relays import Member
-from robinspindle.core.reports import Reports, Schedule
-from robinspindle.core.usage import make_life
+from robinspindle.core.usage import make_incarnation
+from robinspindle.core.usagereports import Reports, Schedule
 from robinspindle.dutycalls import DutyOutcome
 from robinspindle.dutylog import DutyLog
 from robinspindle.dutyturns import DutyTurns
@@ -197,7 +197,7 @@
         self.peers.number = world.rng.randrange(1 << 30)
         self.book = UsageBook(
             self.name,
-            make_life(self.peers.started),
+            make_incarnation(self.peers.started),
             lambda: world.now,
             self._log,
             lambda: WALL_S + world.now + self.step_s,
@@ -295,7 +295,7 @@
         """Whether this life goes on: none of it hears after a kill."""
         return self in self.world.gateways
 
-    def forget_silent(self) -> None:
+    def remove_timed_out_peers(self) -> None:
         """Forget peers that were not heard lately, and tell a relay that is."""
         views = self.peers.views
         for name in [n for n, v in views.items() if self.world.now - v.heard_at > 1.5]:
@@ -330,7 +330,7 @@
     while world.now < LENGTH_S:
         await asyncio.sleep(0.5)
         for gateway in world.gateways:
-            gateway.forget_silent()
+            gateway.remove_timed_out_peers()
         for task in tasks.values():
             if task.done():
                 task.result()
--- a/fuzz/keymutants.py
+++ b/fuzz/keymutants.py
@@ -63,15 +63,17 @@
 
 
 def _read_present(known):
-    return max(known.newest_at, known.told_at, 0.0) + 3.0
+    return max(known.newest_at, known.peer_renewed_at, 0.0) + 3.0
 
 
 KEY_MUTANTS = (
     Mutant("serve whatever the age", permits, "may_serve", lambda r: lambda *_: True),
-    Mutant("count from the answer", freshness, "note_read", _count_from_answer),
-    Mutant("take ages as of arrival", peerfacts, "note_told", _take_as_of_arrival),
-    Mutant("believe any version", peerfacts, "note_told", _ignore_versions),
-    Mutant("trust for ever", freshness, "note_read", _trust_for_ever),
+    Mutant("count from the answer", freshness, "note_store_read", _count_from_answer),
+    Mutant(
+        "take ages as of arrival", peerfacts, "note_peer_version", _take_as_of_arrival
+    ),
+    Mutant("believe any version", peerfacts, "note_peer_version", _ignore_versions),
+    Mutant("trust for ever", freshness, "note_store_read", _trust_for_ever),
     Mutant("tell no age", peerfacts.PeerFacts, "_describe_checked", _tell_no_age),
     Mutant("ages by wall clock", peerfacts.PeerFacts, "_take_checked", _count_by_wall),
     Mutant("look at a key once", permits, "is_revoked", lambda r: lambda *_: False),
--- a/fuzz/keyworld.py
+++ b/fuzz/keyworld.py
@@ -17,8 +17,8 @@
 from robinspindle.core.forwarding import Refusal, Request
 from robinspindle.core.freshness import Freshness
 from robinspindle.core.relays import Member
-from robinspindle.core.reports import Reports
 from robinspindle.core.routes import IDEMPOTENT, Backend, CallerLimits, Route
+from robinspindle.core.usagereports import Reports
 from robinspindle.core.workspaces import Workspace, digest_key, make_key_ring
 from robinspindle.exceptions import LogUnavailableError
 from robinspindle.following import Follower, Outage
@@ -106,7 +106,7 @@
             lambda: None,
             lambda: None,
             wait_s=self._find_wait_s,
-            note_newest=lambda sent_at: ages.note_read(self.freshness, sent_at),
+            note_newest=lambda sent_at: ages.note_store_read(self.freshness, sent_at),
         )
 
     def read_clock(self) -> float:
@@ -118,7 +118,7 @@
 
     def _find_wait_s(self) -> float:
         if self.peers.is_relay:
-            return ages.find_own_wait_s(self.freshness, 2.0)
+            return ages.find_relay_wait_s(self.freshness, 2.0)
         return ages.find_wait_s(self.freshness, self.world.now, 25.0)
 
     def _apply(self, key: str, value) -> None:
--- a/fuzz/sides.py
+++ b/fuzz/sides.py
@@ -4,7 +4,7 @@
 import random
 from typing import Protocol
 
-from robinspindle.core.sharing import Digest, Facts, take_digest
+from robinspindle.core.peerdigests import Digest, Facts, apply_digest
 from robinspindle.peerfacts import PeerFacts
 from robinspindle.peers import Peers
 
@@ -77,7 +77,7 @@
             loop = asyncio.get_running_loop()
             loop.call_later(left_s + 0.001, self.hear, sender, digest, facts)
             return
-        take_digest(self.peers.views, digest, self.world.now, lambda lifetime: None)
+        apply_digest(self.peers.views, digest, self.world.now, lambda lifetime: None)
         self.facts.take(sender, facts)
 
     def is_alive(self) -> bool:
--- a/src/robinspindle/beliefs.py
+++ b/src/robinspindle/beliefs.py
@@ -12,12 +12,12 @@
 from robinspindle.core.entries import UnusableEntries
 from robinspindle.core.freshness import (
     Freshness,
-    find_own_wait_s,
+    find_relay_wait_s,
     find_wait_s,
-    note_read,
+    note_store_read,
 )
 from robinspindle.core.quarantine import is_key
-from robinspindle.core.relays import decode_introduction
+from robinspindle.core.relays import decode_member
 from robinspindle.core.routes import is_newer
 from robinspindle.core.targets import Target
 from robinspindle.exceptions import BadDocumentError
@@ -136,7 +136,7 @@
         """
         most_s = self._find_wait_s()
         if self.peers.is_relay:
-            return find_own_wait_s(self.freshness, most_s)
+            return find_relay_wait_s(self.freshness, most_s)
         return find_wait_s(self.freshness, self.clock(), most_s)
 
     def _find_wait_s(self) -> float:
@@ -166,7 +166,7 @@
         if self.is_own(key):
             self.introduction.is_stored = value is not None
             return
-        member = None if value is None else decode_introduction(key, value)
+        member = None if value is None else decode_member(key, value)
         if value is None and key in list_heard(self.peers):
             # The store returned from an older copy; the peer introduces itself again.
             return
@@ -183,7 +183,7 @@
 
         What can't be read came into force nowhere, and takes no key away.
         """
-        note_read(self.freshness, sent_at)
+        note_store_read(self.freshness, sent_at)
 
     def _apply_configuration(self, key: str, value: bytes | None) -> None:
         if key != self.adapter.configuration_key or value is None:
--- a/src/robinspindle/core/digests.py
+++ b/src/robinspindle/core/aggregation.py
@@ -9,15 +9,15 @@
 
 import msgspec
 
-from robinspindle.core.crashnews import RequestNews, join_news
+from robinspindle.core.crashupdates import RequestUpdates, merge_updates
+from robinspindle.core.peerdigests import Digest, Load, PrefillStatistics
 from robinspindle.core.prefillmodel import add_fit_sums
-from robinspindle.core.sharing import Digest, Learnt, Load
 
-MOST_GROUP_PLACEMENTS = 96
+MAX_GROUP_PLACEMENTS = 96
 """Placements that are told for a group at once: about 9 KB."""
 
 
-def join(last: Digest | None, digest: Digest) -> Digest:
+def merge_unsent(last: Digest | None, digest: Digest) -> Digest:
     """Add an entry's newest digest to what it told that was not passed on yet.
 
     Args:
@@ -29,22 +29,27 @@
     return msgspec.structs.replace(
         digest,
         placements=last.placements + digest.placements,
-        switching=last.switching + digest.switching,
-        learnt=digest.learnt or last.learnt,
-        silent=sorted({*last.silent, *digest.silent}),
+        role_changes=last.role_changes + digest.role_changes,
+        prefill_statistics=digest.prefill_statistics or last.prefill_statistics,
+        silent_targets=sorted({*last.silent_targets, *digest.silent_targets}),
         caches=last.caches + digest.caches,
         requests=_join_requests([last, digest]),
     )
 
 
-def drop_told(digest: Digest) -> Digest:
+def drop_sent(digest: Digest) -> Digest:
     """Drop from a digest what is passed on just once."""
     return msgspec.structs.replace(
-        digest, placements=[], switching=[], silent=[], caches=[], requests=None
+        digest,
+        placements=[],
+        role_changes=[],
+        silent_targets=[],
+        caches=[],
+        requests=None,
     )
 
 
-def add_up(own: Digest, others: Iterable[Digest], tells_all: bool) -> Digest:
+def aggregate(own: Digest, others: Iterable[Digest], tells_all: bool) -> Digest:
     """Add up what a relay tells for its group.
 
     Args:
@@ -56,43 +61,47 @@
     return msgspec.structs.replace(
         own,
         loads=_add_loads(digests),
-        placements=[p for d in digests for p in d.placements][-MOST_GROUP_PLACEMENTS:],
-        read_rates=_add_rates(digests),
-        switching=[order for digest in digests for order in digest.switching],
-        learnt=_add_learnt(digests) if tells_all else [],
-        silent=sorted({lifetime for digest in digests for lifetime in digest.silent}),
+        placements=[p for d in digests for p in d.placements][-MAX_GROUP_PLACEMENTS:],
+        prefill_loads=_add_rates(digests),
+        role_changes=[order for digest in digests for order in digest.role_changes],
+        prefill_statistics=_add_learnt(digests) if tells_all else [],
+        silent_targets=sorted(
+            {lifetime for digest in digests for lifetime in digest.silent_targets}
+        ),
         caches=[cache for digest in digests for cache in digest.caches],
         members=[digest.sender for digest in digests] if tells_all else None,
-        ends=_find_ends(digests),
+        topic_ends=_find_ends(digests),
         era=max(digest.era for digest in digests),
         is_relay=True,
         requests=_join_requests(digests),
     )
 
 
-def leave_out(total: Digest, one: Digest) -> Digest:
+def subtract(total: Digest, one: Digest) -> Digest:
     """Take what one entry told out of the sum that is sent to it."""
     own_loads = {load.lifetime: load for load in one.loads}
     own_placements = {id(placement) for placement in one.placements}
-    own_learnt = {(told.service, told.prefill_only): told for told in one.learnt}
+    own_learnt = {
+        (told.service, told.prefill_only): told for told in one.prefill_statistics
+    }
     return msgspec.structs.replace(
         total,
         loads=[_subtract(load, own_loads.get(load.lifetime)) for load in total.loads],
         placements=[p for p in total.placements if id(p) not in own_placements],
-        read_rates={
-            service: max(0.0, rate - one.read_rates.get(service, 0.0))
-            for service, rate in total.read_rates.items()
+        prefill_loads={
+            service: max(0.0, rate - one.prefill_loads.get(service, 0.0))
+            for service, rate in total.prefill_loads.items()
         },
-        learnt=[
+        prefill_statistics=[
             _unlearn(told, own_learnt.get((told.service, told.prefill_only)))
-            for told in total.learnt
+            for told in total.prefill_statistics
         ],
     )
 
 
-def _join_requests(digests: list[Digest]) -> RequestNews | None:
+def _join_requests(digests: list[Digest]) -> RequestUpdates | None:
     told = [digest.requests for digest in digests if digest.requests is not None]
-    return reduce(join_news, told) if told else None
+    return reduce(merge_updates, told) if told else None
 
 
 def _add_loads(digests: list[Digest]) -> list[Load]:
@@ -129,27 +138,29 @@
 def _add_rates(digests: list[Digest]) -> dict[str, float]:
     rates: dict[str, float] = {}
     for digest in digests:
-        for service, rate in digest.read_rates.items():
+        for service, rate in digest.prefill_loads.items():
             rates[service] = rates.get(service, 0.0) + rate
     return rates
 
 
-def _add_learnt(digests: list[Digest]) -> list[Learnt]:
-    found: dict[tuple[str, bool], Learnt] = {}
+def _add_learnt(digests: list[Digest]) -> list[PrefillStatistics]:
+    found: dict[tuple[str, bool], PrefillStatistics] = {}
     for digest in digests:
-        for told in digest.learnt:
+        for told in digest.prefill_statistics:
             key = (told.service, told.prefill_only)
             known = found.get(key)
             sums = told.sums if known is None else add_fit_sums(known.sums, told.sums)
-            found[key] = Learnt(*key, sums)
+            found[key] = PrefillStatistics(*key, sums)
     return list(found.values())
 
 
-def _unlearn(total: Learnt, one: Learnt | None) -> Learnt:
+def _unlearn(
+    total: PrefillStatistics, one: PrefillStatistics | None
+) -> PrefillStatistics:
     if one is None:
         return total
     sums = add_fit_sums(total.sums, one.sums, -1.0)
-    return Learnt(total.service, total.prefill_only, sums)
+    return PrefillStatistics(total.service, total.prefill_only, sums)
 
 
 def _find_ends(digests: list[Digest]) -> dict[str, int]:
@@ -159,6 +170,6 @@
     for digest in digests:
         if digest.era < newest:
             continue
-        for topic, end in digest.ends.items():
+        for topic, end in digest.topic_ends.items():
             ends[topic] = max(end, ends.get(topic, end))
     return ends
--- a/src/robinspindle/core/crashes.py
+++ b/src/robinspindle/core/crashes.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from robinspindle.core.fingerprints import Fingerprint, get_mark
+from robinspindle.core.fingerprints import Fingerprint, get_head_hash
 
-LEAST_CRASHES = 3
+MIN_CRASHES = 3
 """Crashes that a request meets before it is taken as their cause: the platform's own
 figure, and the fewest by which one is told from the others that ran there."""
 
@@ -21,39 +21,39 @@
 """The same where another request met all of these crashes too, as it followed the first
 from target to target: one more tells which of the two it was."""
 
-MOST_CHANCE = 1e-3
+MAX_COINCIDENCE_PROBABILITY = 1e-3
 """A request is taken as the cause if an innocent one would have met its crashes less
 often than this. In a storm in which each target crashes every 4 s, 1 in 8,000 innocent
 callers is turned away (`tests/core/test_crashes.py`)."""
 
-EXPLAINED_CHANCE = 0.3
+EXPLAINED_CRASH_PROBABILITY = 0.3
 """How likely an innocent request meets a crash that another one is known to cause; not
 1, as two that crash targets may meet there."""
 
-LEAST_RUN_S = 0.05
+MIN_RUN_S = 0.05
 """The least time that a run counts as under way, seconds: what is sent to a target that
 has just crashed, before that is known, meets the crash however short it ran."""
 
-LEAST_RATE = 1e-3
+MIN_CRASH_RATE = 1e-3
 """Crashes of one target in a second that are reckoned with where none is seen: one in a
 quarter of an hour, far more than targets crash in a quiet hour."""
 
-RATE_SPAN_S = 30.0
+CRASH_RATE_SPAN_S = 30.0
 """Crashes so long before and after one tell how often targets crash then, seconds:
 several times as long as a storm of crashes needs to show itself."""
 
-KEPT_S = 3600.0
-MOST_CRASHES = 256
+CRASH_RETENTION_S = 3600.0
+MAX_CRASHES = 256
 """How long a crash is kept, seconds, and how many are. A request that comes once in 20
 minutes is still found out."""
 
-MOST_RUNS = 128
-MOST_REQUESTS = 1024
+MAX_RUNS = 128
+MAX_REQUESTS = 1024
 """Requests that are kept of one crash, and of all together: 0.7 MB with what is kept of
 good ends. Under a flood those that met one crash fall out first, the oldest of them."""
 
-GOOD_KEPT_S = 60.0
-MOST_GOOD = 1024
+SUCCESS_RETENTION_S = 60.0
+MAX_SUCCESSES = 1024
 """How long a run to a good end speaks for a request, seconds, and how many requests are
 remembered for one. What many callers ask for runs somewhere whenever a target crashes,
 and ends well somewhere else within seconds."""
@@ -83,15 +83,16 @@
 
     Attributes:
         crashes: By lifetime, the oldest first.
-        met: Lifetimes whose crash a request met, by its fingerprint.
-        marks: How many fingerprints with each mark have met a crash.
-        good: When a request last ran to a good end, steady seconds; the latest last.
+        crashes_by_request: Lifetimes whose crash a request met, by its fingerprint.
+        head_hashes: How many fingerprints with each mark have met a crash.
+        successes: When a request last ran to a good end, steady seconds; the latest
+            last.
     """
 
     crashes: OrderedDict[str, Crash] = field(default_factory=OrderedDict)
-    met: dict[Fingerprint, set[str]] = field(default_factory=dict)
-    marks: Counter[bytes] = field(default_factory=Counter)
-    good: OrderedDict[Fingerprint, float] = field(default_factory=OrderedDict)
+    crashes_by_request: dict[Fingerprint, set[str]] = field(default_factory=dict)
+    head_hashes: Counter[bytes] = field(default_factory=Counter)
+    successes: OrderedDict[Fingerprint, float] = field(default_factory=OrderedDict)
 
 
 def note_crash(evidence: Evidence, crash: Crash, now: float) -> bool:
@@ -111,7 +112,7 @@
         known = Crash(crash.lifetime, crash.service, crash.at)
         evidence.crashes[crash.lifetime] = known
     for fingerprint, seconds in crash.runs.items():
-        if fingerprint in known.runs or len(known.runs) >= MOST_RUNS:
+        if fingerprint in known.runs or len(known.runs) >= MAX_RUNS:
             continue
         if not is_cleared(evidence, fingerprint, now):
             _add_run(evidence, known, fingerprint, seconds)
@@ -120,22 +121,22 @@
     return is_news
 
 
-def note_good_end(evidence: Evidence, fingerprint: Fingerprint, now: float) -> bool:
+def note_success(evidence: Evidence, fingerprint: Fingerprint, now: float) -> bool:
     """Take note that a request ran to a good end: it crashes no target.
 
     Returns:
         Whether it was suspected until now.
     """
-    evidence.good[fingerprint] = now
-    evidence.good.move_to_end(fingerprint)
-    while len(evidence.good) > MOST_GOOD:
-        evidence.good.popitem(last=False)
-    return acquit(evidence, fingerprint)
+    evidence.successes[fingerprint] = now
+    evidence.successes.move_to_end(fingerprint)
+    while len(evidence.successes) > MAX_SUCCESSES:
+        evidence.successes.popitem(last=False)
+    return discard_evidence(evidence, fingerprint)
 
 
-def acquit(evidence: Evidence, fingerprint: Fingerprint) -> bool:
+def discard_evidence(evidence: Evidence, fingerprint: Fingerprint) -> bool:
     """Drop all that speaks against a request; whether there was anything."""
-    lifetimes = evidence.met.pop(fingerprint, None)
+    lifetimes = evidence.crashes_by_request.pop(fingerprint, None)
     if lifetimes is None:
         return False
     _drop_mark(evidence, fingerprint)
@@ -146,18 +147,18 @@
 
 def is_cleared(evidence: Evidence, fingerprint: Fingerprint, now: float) -> bool:
     """Whether a request lately ran to a good end."""
-    good_at = evidence.good.get(fingerprint)
-    return good_at is not None and now - good_at <= GOOD_KEPT_S
+    good_at = evidence.successes.get(fingerprint)
+    return good_at is not None and now - good_at <= SUCCESS_RETENTION_S
 
 
-def count_met(evidence: Evidence, fingerprint: Fingerprint) -> int:
+def count_crashes(evidence: Evidence, fingerprint: Fingerprint) -> int:
     """Count the crashes that a request met."""
-    return len(evidence.met.get(fingerprint, ()))
+    return len(evidence.crashes_by_request.get(fingerprint, ()))
 
 
 def find_service(evidence: Evidence, fingerprint: Fingerprint) -> str:
     """Find the service whose targets crashed under a request; empty for none."""
-    lifetimes = evidence.met.get(fingerprint)
+    lifetimes = evidence.crashes_by_request.get(fingerprint)
     return evidence.crashes[min(lifetimes)].service if lifetimes else ""
 
 
@@ -166,13 +167,13 @@
 
     It had better run where it has least to take with it.
     """
-    return count_met(evidence, fingerprint) >= LEAST_CRASHES - 1
+    return count_crashes(evidence, fingerprint) >= MIN_CRASHES - 1
 
 
-def is_guilty(
+def is_probable_cause(
     evidence: Evidence,
     fingerprint: Fingerprint,
-    known_guilty: Iterable[Fingerprint],
+    known_causes: Iterable[Fingerprint],
     targets: int,
 ) -> bool:
     """Whether a request is to be taken as the cause of the crashes that it met.
@@ -180,20 +181,23 @@
     Args:
         evidence: What is known.
         fingerprint: The request.
-        known_guilty: Requests that are known to crash targets.
+        known_causes: Requests that are known to crash targets.
         targets: Targets of its service.
     """
-    lifetimes = evidence.met.get(fingerprint, set())
-    if len(lifetimes) < LEAST_CRASHES:
+    lifetimes = evidence.crashes_by_request.get(fingerprint, set())
+    if len(lifetimes) < MIN_CRASHES:
         return False
     is_tied = _has_companion(evidence, fingerprint, lifetimes)
     if is_tied and len(lifetimes) < TIED_CRASHES:
         return False
-    others = set(known_guilty) - {fingerprint}
-    return find_chance(evidence, fingerprint, others, targets) <= MOST_CHANCE
+    others = set(known_causes) - {fingerprint}
+    return (
+        find_coincidence_probability(evidence, fingerprint, others, targets)
+        <= MAX_COINCIDENCE_PROBABILITY
+    )
 
 
-def find_chance(
+def find_coincidence_probability(
     evidence: Evidence,
     fingerprint: Fingerprint,
     others: set[Fingerprint],
@@ -214,14 +218,14 @@
         targets: Targets of its service.
     """
     chance = 1.0
-    for lifetime in evidence.met.get(fingerprint, ()):
+    for lifetime in evidence.crashes_by_request.get(fingerprint, ()):
         crash = evidence.crashes[lifetime]
         if others.isdisjoint(crash.runs):
             rate = _find_other_rate(evidence, crash, {fingerprint, *others}, targets)
-            seconds = max(LEAST_RUN_S, crash.runs[fingerprint])
+            seconds = max(MIN_RUN_S, crash.runs[fingerprint])
             chance *= 1.0 - math.exp(-rate * seconds)
         else:
-            chance *= EXPLAINED_CHANCE
+            chance *= EXPLAINED_CRASH_PROBABILITY
     return chance
 
 
@@ -231,11 +235,11 @@
     """Find how often a target crashes at that time without these causes, per second."""
     count = sum(
         other.service == crash.service
-        and abs(other.at - crash.at) <= RATE_SPAN_S
+        and abs(other.at - crash.at) <= CRASH_RATE_SPAN_S
         and causes.isdisjoint(other.runs)
         for other in evidence.crashes.values()
     )
-    return max(LEAST_RATE, count / (RATE_SPAN_S * max(1, targets)))
+    return max(MIN_CRASH_RATE, count / (CRASH_RATE_SPAN_S * max(1, targets)))
 
 
 def _has_companion(
@@ -250,33 +254,35 @@
     evidence: Evidence, crash: Crash, fingerprint: Fingerprint, seconds: float
 ) -> None:
     crash.runs[fingerprint] = seconds
-    if fingerprint not in evidence.met:
-        evidence.met[fingerprint] = set()
-        evidence.marks[get_mark(fingerprint)] += 1
-    evidence.met[fingerprint].add(crash.lifetime)
+    if fingerprint not in evidence.crashes_by_request:
+        evidence.crashes_by_request[fingerprint] = set()
+        evidence.head_hashes[get_head_hash(fingerprint)] += 1
+    evidence.crashes_by_request[fingerprint].add(crash.lifetime)
 
 
 def _forget_old(evidence: Evidence, now: float) -> None:
     for crash in list(evidence.crashes.values()):
-        is_old = now - crash.at > KEPT_S or len(evidence.crashes) > MOST_CRASHES
+        is_old = (
+            now - crash.at > CRASH_RETENTION_S or len(evidence.crashes) > MAX_CRASHES
+        )
         if not is_old:
             break
         _forget_crash(evidence, crash)
     for crash in list(evidence.crashes.values()):
-        if len(evidence.met) <= MOST_REQUESTS:
+        if len(evidence.crashes_by_request) <= MAX_REQUESTS:
             return
         _forget_single(evidence, crash)
-    while len(evidence.met) > MOST_REQUESTS:
+    while len(evidence.crashes_by_request) > MAX_REQUESTS:
         _forget_crash(evidence, next(iter(evidence.crashes.values())))
 
 
 def _forget_single(evidence: Evidence, crash: Crash) -> None:
     """Forget those that met this crash alone, until few enough are left."""
     for fingerprint in list(crash.runs):
-        if len(evidence.met) <= MOST_REQUESTS:
+        if len(evidence.crashes_by_request) <= MAX_REQUESTS:
             return
-        if len(evidence.met[fingerprint]) == 1:
-            acquit(evidence, fingerprint)
+        if len(evidence.crashes_by_request[fingerprint]) == 1:
+            discard_evidence(evidence, fingerprint)
 
 
 def _forget_crash(evidence: Evidence, crash: Crash) -> None:
@@ -286,15 +292,15 @@
 
 
 def _forget_run(evidence: Evidence, fingerprint: Fingerprint, lifetime: str) -> None:
-    lifetimes = evidence.met[fingerprint]
+    lifetimes = evidence.crashes_by_request[fingerprint]
     lifetimes.discard(lifetime)
     if not lifetimes:
-        del evidence.met[fingerprint]
+        del evidence.crashes_by_request[fingerprint]
         _drop_mark(evidence, fingerprint)
 
 
 def _drop_mark(evidence: Evidence, fingerprint: Fingerprint) -> None:
-    mark = get_mark(fingerprint)
-    evidence.marks[mark] -= 1
-    if not evidence.marks[mark]:
-        del evidence.marks[mark]
+    head_hash = get_head_hash(fingerprint)
+    evidence.head_hashes[head_hash] -= 1
+    if not evidence.head_hashes[head_hash]:
+        del evidence.head_hashes[head_hash]
--- a/src/robinspindle/core/crashnews.py
+++ b/src/robinspindle/core/crashupdates.py
@@ -4,23 +4,23 @@
 
 import msgspec
 
-from robinspindle.core.crashes import MOST_RUNS, Crash
+from robinspindle.core.crashes import MAX_RUNS, Crash
 from robinspindle.core.fingerprints import Fingerprint, is_fingerprint
 from robinspindle.core.quarantine import Entry, Standing, find_fault, is_lifetime
-from robinspindle.core.tellings import Tellings
+from robinspindle.core.retransmission import Retransmissions
 
-MOST_TOLD_RUNS = 512
+MAX_RUNS_PER_DATAGRAM = 512
 """Requests that met crashes in one datagram: 14 KB of the 64 KB that it may have. Four
 engines with 128 answers each may crash at once and all be told of."""
 
-MOST_RUN_MS = 3_600_000
+MAX_RUN_MS = 3_600_000
 """No request is under way for longer than an hour, milliseconds."""
 
-MOST_AGO_MS = 60_000
+MAX_AGO_MS = 60_000
 """News of a crash are not older than a minute, milliseconds."""
 
 
-class CrashNews(msgspec.Struct, array_like=True):
+class CrashUpdate(msgspec.Struct, array_like=True):
     """A crash, and what the sender had under way there.
 
     Attributes:
@@ -36,7 +36,7 @@
     runs: list[tuple[bytes, int]]
 
 
-class QuarantineNews(msgspec.Struct, array_like=True):
+class QuarantineUpdate(msgspec.Struct, array_like=True):
     """What was last said of one request; see `robinspindle.core.quarantine.Entry`."""
 
     fingerprint: bytes
@@ -47,7 +47,7 @@
     trials: int
 
 
-class RequestNews(msgspec.Struct, array_like=True):
+class RequestUpdates(msgspec.Struct, array_like=True):
     """All that is told of requests that crash targets.
 
     Attributes:
@@ -56,13 +56,13 @@
         quarantine: Requests that are turned away, or were released.
     """
 
-    crashes: list[CrashNews] = []
+    crashes: list[CrashUpdate] = []
     cleared: list[bytes] = []
-    quarantine: list[QuarantineNews] = []
+    quarantine: list[QuarantineUpdate] = []
 
 
 @dataclass
-class CrashTellings:
+class PendingUpdates:
     """What one gateway still tells of crashes.
 
     Attributes:
@@ -72,28 +72,28 @@
         own_runs: What this gateway had under way when a life ended.
     """
 
-    crashes: Tellings[str] = field(default_factory=Tellings)
-    cleared: Tellings[Fingerprint] = field(default_factory=Tellings)
-    entries: Tellings[Fingerprint] = field(default_factory=Tellings)
+    crashes: Retransmissions[str] = field(default_factory=Retransmissions)
+    cleared: Retransmissions[Fingerprint] = field(default_factory=Retransmissions)
+    entries: Retransmissions[Fingerprint] = field(default_factory=Retransmissions)
     own_runs: dict[str, dict[Fingerprint, float]] = field(default_factory=dict)
 
 
-def write_crash(crash: Crash, now: float) -> CrashNews:
+def write_crash(crash: Crash, now: float) -> CrashUpdate:
     """Write a crash for the peers."""
     runs = [(f, round(seconds * 1000)) for f, seconds in crash.runs.items()]
     ago_ms = max(0, round((now - crash.at) * 1000))
-    return CrashNews(crash.lifetime, crash.service, ago_ms, runs[:MOST_RUNS])
+    return CrashUpdate(crash.lifetime, crash.service, ago_ms, runs[:MAX_RUNS])
 
 
-def read_crash(news: CrashNews, now: float) -> Crash:
+def read_crash(news: CrashUpdate, now: float) -> Crash:
     """Read a crash that a peer told."""
     runs = {Fingerprint(f): ms / 1000 for f, ms in news.runs}
     return Crash(news.lifetime, news.service, now - news.ago_ms / 1000, runs)
 
 
-def write_entry(entry: Entry) -> QuarantineNews:
+def write_entry(entry: Entry) -> QuarantineUpdate:
     """Write what is said of a request for the peers."""
-    return QuarantineNews(
+    return QuarantineUpdate(
         entry.fingerprint,
         entry.standing.value,
         entry.at_ms,
@@ -103,7 +103,7 @@
     )
 
 
-def read_entry(news: QuarantineNews) -> Entry:
+def read_entry(news: QuarantineUpdate) -> Entry:
     """Read what a peer says of a request; it must have no fault."""
     return Entry(
         Fingerprint(news.fingerprint),
@@ -115,24 +115,24 @@
     )
 
 
-def join_news(first: RequestNews, second: RequestNews) -> RequestNews:
+def merge_updates(first: RequestUpdates, second: RequestUpdates) -> RequestUpdates:
     """Put what two senders tell together, as much as a datagram may tell.
 
     The same thing told by many is told once: of 300 gateways 62 told of one request.
     """
-    return RequestNews(
+    return RequestUpdates(
         _join_crashes(first.crashes + second.crashes),
         list(dict.fromkeys(first.cleared + second.cleared)),
         _join_entries(first.quarantine + second.quarantine),
     )
 
 
-def _join_crashes(told: list[CrashNews]) -> list[CrashNews]:
-    found: dict[str, CrashNews] = {}
+def _join_crashes(told: list[CrashUpdate]) -> list[CrashUpdate]:
+    found: dict[str, CrashUpdate] = {}
     count = 0
     for crash in told:
         count += len(crash.runs)
-        if count > MOST_TOLD_RUNS:
+        if count > MAX_RUNS_PER_DATAGRAM:
             break
         known = found.get(crash.lifetime)
         runs = crash.runs if known is None else known.runs + crash.runs
@@ -140,8 +140,8 @@
     return list(found.values())
 
 
-def _join_entries(told: list[QuarantineNews]) -> list[QuarantineNews]:
-    found: dict[bytes, QuarantineNews] = {}
+def _join_entries(told: list[QuarantineUpdate]) -> list[QuarantineUpdate]:
+    found: dict[bytes, QuarantineUpdate] = {}
     for entry in told:
         known = found.get(entry.fingerprint)
         if known is None or known.at_ms < entry.at_ms:
@@ -149,7 +149,7 @@
     return list(found.values())
 
 
-def is_believable(news: RequestNews) -> bool:
+def are_updates_valid(news: RequestUpdates) -> bool:
     """Whether what a peer tells has the right shapes and ranges."""
     return (
         all(_is_crash(crash) for crash in news.crashes)
@@ -158,14 +158,14 @@
     )
 
 
-def _is_crash(news: CrashNews) -> bool:
+def _is_crash(news: CrashUpdate) -> bool:
     return (
         is_lifetime(news.lifetime)
-        and 0 <= news.ago_ms <= MOST_AGO_MS
-        and all(is_fingerprint(f) and 0 <= ms <= MOST_RUN_MS for f, ms in news.runs)
+        and 0 <= news.ago_ms <= MAX_AGO_MS
+        and all(is_fingerprint(f) and 0 <= ms <= MAX_RUN_MS for f, ms in news.runs)
     )
 
 
-def _is_entry(news: QuarantineNews) -> bool:
+def _is_entry(news: QuarantineUpdate) -> bool:
     standings = {standing.value for standing in Standing}
     return news.standing in standings and find_fault(read_entry(news)) is None
--- a/src/robinspindle/core/fingerprints.py
+++ b/src/robinspindle/core/fingerprints.py
@@ -16,36 +16,36 @@
 Fingerprint = NewType("Fingerprint", bytes)
 """A mark, and a digest of the body."""
 
-MARK_BYTES = 8
-BODY_BYTES = 16
+HEAD_HASH_BYTES = 8
+BODY_HASH_BYTES = 16
 """Lengths of the two parts, bytes. Two of 10,000 marks agree by chance once in
 4 * 10^11 times, which costs one look at a body; nobody finds a second body to a
 digest."""
 
-FINGERPRINT_BYTES = MARK_BYTES + BODY_BYTES
+FINGERPRINT_BYTES = HEAD_HASH_BYTES + BODY_HASH_BYTES
 
 
-def make_mark(request: Request) -> bytes:
+def hash_head(request: Request) -> bytes:
     """Digest all that names a request but its body."""
     host = request.host.lower().encode("latin-1", "replace")
     named = (request.method.encode(), host, request.target, request.caller)
-    return hashlib.blake2b(b"\n".join(named), digest_size=MARK_BYTES).digest()
+    return hashlib.blake2b(b"\n".join(named), digest_size=HEAD_HASH_BYTES).digest()
 
 
-def make_fingerprint(request: Request, mark: bytes) -> Fingerprint:
+def make_fingerprint(request: Request, head_hash: bytes) -> Fingerprint:
     """Name a request.
 
     Args:
         request: The request, with its whole body.
-        mark: Its mark (`make_mark`).
+        head_hash: Its mark (`hash_head`).
     """
-    body = hashlib.blake2b(request.body, digest_size=BODY_BYTES).digest()
-    return Fingerprint(mark + body)
+    body = hashlib.blake2b(request.body, digest_size=BODY_HASH_BYTES).digest()
+    return Fingerprint(head_hash + body)
 
 
-def get_mark(fingerprint: Fingerprint) -> bytes:
+def get_head_hash(fingerprint: Fingerprint) -> bytes:
     """Get the mark that a fingerprint begins with."""
-    return fingerprint[:MARK_BYTES]
+    return fingerprint[:HEAD_HASH_BYTES]
 
 
 def is_fingerprint(value: bytes) -> bool:
@@ -53,7 +53,7 @@
     return len(value) == FINGERPRINT_BYTES
 
 
-class NamedRequest:
+class FingerprintedRequest:
     """A request whose mark and fingerprint are made once, when they are asked for.
 
     Attributes:
@@ -66,11 +66,11 @@
         self.is_trial = False
 
     @cached_property
-    def mark(self) -> bytes:
+    def head_hash(self) -> bytes:
         """Its mark."""
-        return make_mark(self.request)
+        return hash_head(self.request)
 
     @cached_property
     def fingerprint(self) -> Fingerprint:
         """Its fingerprint."""
-        return make_fingerprint(self.request, self.mark)
+        return make_fingerprint(self.request, self.head_hash)
--- a/src/robinspindle/core/freshness.py
+++ b/src/robinspindle/core/freshness.py
@@ -43,7 +43,7 @@
         has_keys: Whether requests need keys by the configuration in force.
         version: Its version; 0 for none.
         newest_at: When it was last known to be the newest, steady seconds.
-        told_at: When a peer last renewed that, steady seconds.
+        peer_renewed_at: When a peer last renewed that, steady seconds.
         newer_version: The highest version that a peer told of.
         newer_at: When it was told, steady seconds.
     """
@@ -53,12 +53,12 @@
     has_keys: bool = False
     version: int = 0
     newest_at: float = -math.inf
-    told_at: float = -math.inf
+    peer_renewed_at: float = -math.inf
     newer_version: int = 0
     newer_at: float = -math.inf
 
 
-def note_read(freshness: Freshness, sent_at: float) -> None:
+def note_store_read(freshness: Freshness, sent_at: float) -> None:
     """Take note that the store held nothing newer.
 
     A store that has returned from a copy may hold less than a peer has seen.
@@ -71,7 +71,9 @@
         freshness.newest_at = max(freshness.newest_at, sent_at)
 
 
-def note_told(freshness: Freshness, version: int, as_of: float, now: float) -> None:
+def note_peer_version(
+    freshness: Freshness, version: int, as_of: float, now: float
+) -> None:
     """Take note of the version that a peer knew to be the newest.
 
     Args:
@@ -85,7 +87,7 @@
         freshness.newer_version = max(freshness.newer_version, version)
         freshness.newer_at = now
     elif version == freshness.version and not _is_behind(freshness, now):
-        freshness.told_at = now
+        freshness.peer_renewed_at = now
         freshness.newest_at = max(freshness.newest_at, as_of)
 
 
@@ -130,21 +132,23 @@
         now: The present time, steady seconds.
         most_s: How long it may where nothing hangs on the age, or peers renew it.
     """
-    if counts_on_peers(freshness, now):
+    if relies_on_peers(freshness, now):
         return most_s
-    return find_own_wait_s(freshness, most_s)
+    return find_relay_wait_s(freshness, most_s)
 
 
-def find_own_wait_s(freshness: Freshness, most_s: float) -> float:
+def find_relay_wait_s(freshness: Freshness, most_s: float) -> float:
     """Find the same for a gateway on which others count, seconds."""
     if not _is_promised(freshness):
         return most_s
     return min(most_s, WAIT_SHARE * freshness.limit_s)
 
 
-def counts_on_peers(freshness: Freshness, now: float) -> bool:
+def relies_on_peers(freshness: Freshness, now: float) -> bool:
     """Whether peers renew it, so that the store need not be asked often."""
-    return not _is_promised(freshness) or now - freshness.told_at <= PEERS_RENEW_S
+    return (
+        not _is_promised(freshness) or now - freshness.peer_renewed_at <= PEERS_RENEW_S
+    )
 
 
 def _is_promised(freshness: Freshness) -> bool:
--- a/src/robinspindle/core/sharing.py
+++ b/src/robinspindle/core/peerdigests.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from robinspindle.core.crashnews import RequestNews
+from robinspindle.core.crashupdates import RequestUpdates
 from robinspindle.core.engines import (
     Engine,
     forget_peer_backlog,
@@ -23,16 +23,16 @@
 from robinspindle.core.urgency import FIRST_RANK
 from robinspindle.core.usage import Account
 
-SILENCE_S = 1.5
+PEER_TIMEOUT_S = 1.5
 """A peer that was not heard for this long has nothing under way as far as is known,
 seconds: seven of the longest intervals between its datagrams."""
 
-RELAY_SILENCE_S = 1.0
+RELAY_TIMEOUT_S = 1.0
 """The same for a relay, seconds: five of its longest intervals. Sooner than for others,
 as those for whom it spoke are heard through the next one after 0.6 s, and would count
 twice until then."""
 
-MOST_PLACEMENTS = 24
+MAX_PLACEMENTS = 24
 """Placements in one datagram, so that it stays far below 64 KB and mostly whole."""
 
 
@@ -40,7 +40,7 @@
 """Stands for a target that was not heard yet, milliseconds."""
 
 
-TEACHERS = 2
+CACHE_SENDERS = 2
 """Entries that tell a newcomer what caches hold: one more than is needed, as datagrams
 are lost and the first may have just started itself."""
 
@@ -79,7 +79,7 @@
     level: int = FIRST_RANK
 
 
-class Learnt(msgspec.Struct, array_like=True):
+class PrefillStatistics(msgspec.Struct, array_like=True):
     """What one entry has learnt of how fast engines read.
 
     Attributes:
@@ -114,15 +114,15 @@
         number: Counts up.
         loads: All that it has under way.
         placements: What it placed since its last datagram.
-        read_rates: Seconds of a reader's work that it is asked for in a second, by
+        prefill_loads: Seconds of a reader's work that it is asked for in a second, by
             service.
-        switching: Engines that it ordered lately, with the role that they take.
-        learnt: What it has learnt of paces; empty for nothing new.
-        silent: Targets that it lately found silent.
+        role_changes: Engines that it ordered lately, with the role that they take.
+        prefill_statistics: What it has learnt of paces; empty for nothing new.
+        silent_targets: Targets that it lately found silent.
         caches: What caches hold, for peers that have just started.
         members: Names of all for whom a relay speaks; None where that is not told now.
-        ends: How far each topic of the store has been read.
-        is_away: Whether the store is away for the sender.
+        topic_ends: How far each topic of the store has been read.
+        is_store_unavailable: Whether the store is away for the sender.
         is_new: Whether the sender has just started, and is to be told of caches.
         is_relay: Whether this is told for several.
         requests: News of requests that crash targets; None for none.
@@ -134,21 +134,21 @@
     number: int
     loads: list[Load]
     placements: list[Placement]
-    read_rates: dict[str, float] = {}
-    switching: list[tuple[str, str]] = []
-    learnt: list[Learnt] = []
-    silent: list[str] = []
+    prefill_loads: dict[str, float] = {}
+    role_changes: list[tuple[str, str]] = []
+    prefill_statistics: list[PrefillStatistics] = []
+    silent_targets: list[str] = []
     caches: list[Cache] = []
     members: list[str] | None = None
-    ends: dict[str, int] = {}
-    is_away: bool = False
+    topic_ends: dict[str, int] = {}
+    is_store_unavailable: bool = False
     is_new: bool = False
     is_relay: bool = False
-    requests: RequestNews | None = None
+    requests: RequestUpdates | None = None
     era: int = 0
 
 
-class Checked(msgspec.Struct, array_like=True):
+class ConfigurationAge(msgspec.Struct, array_like=True):
     """How sure an entry is that its configuration is the newest.
 
     Attributes:
@@ -164,9 +164,11 @@
     """What an entry knows besides its work, told to one receiver.
 
     Attributes:
-        seen: Number of the newest digest that the sender has of the receiver, whoever
-            speaks for whom; None for none. All of this was true after that came.
-        checked: The age of its configuration; None where no key hangs on that.
+        last_received: Number of the newest digest that the sender has of the receiver,
+            whoever speaks for whom; None for none. All of this was true after that
+            came.
+        configuration_age: The age of its configuration; None where no key hangs on
+            that.
         wall_ms: Its time of day, Unix milliseconds.
         agreed_ms: What it believes the time of day to be.
         counts: Requests that began to run, as far as the receiver has not confirmed
@@ -174,15 +176,15 @@
         reported: Windows whose usage the platform has taken lately.
     """
 
-    seen: int | None = None
-    checked: Checked | None = None
+    last_received: int | None = None
+    configuration_age: ConfigurationAge | None = None
     wall_ms: int = 0
     agreed_ms: int = 0
     counts: list[Account] = []
     reported: list[int] = []
 
 
-class Bundle(msgspec.Struct, array_like=True):
+class Datagram(msgspec.Struct, array_like=True):
     """One datagram.
 
     Attributes:
@@ -208,27 +210,27 @@
         number: Number of its newest digest.
         heard_at: When that came, steady seconds.
         lifetimes: Targets at which it had work.
-        read_rates: Seconds of a reader's work that it is asked for in a second, by
+        prefill_loads: Seconds of a reader's work that it is asked for in a second, by
             service.
         is_relay: Whether it speaks for others too.
         members: Names of those.
-        is_away: Whether the store is away for it.
+        is_store_unavailable: Whether the store is away for it.
     """
 
     started: float = 0.0
     number: int = -1
     heard_at: float = 0.0
     lifetimes: set[str] = field(default_factory=set)
-    read_rates: dict[str, float] = field(default_factory=dict)
+    prefill_loads: dict[str, float] = field(default_factory=dict)
     is_relay: bool = False
     members: list[str] = field(default_factory=list)
-    is_away: bool = False
+    is_store_unavailable: bool = False
 
 
 FindEngine = Callable[[str], Engine | None]
 
 
-def take_digest(
+def apply_digest(
     peers: dict[str, PeerView], digest: Digest, now: float, find: FindEngine
 ) -> bool:
     """Take a peer's digest in.
@@ -241,9 +243,9 @@
         return False
     peer.started, peer.number = digest.started, digest.number
     peer.heard_at = now
-    peer.read_rates = digest.read_rates
+    peer.prefill_loads = digest.prefill_loads
     peer.is_relay = digest.is_relay
-    peer.is_away = digest.is_away
+    peer.is_store_unavailable = digest.is_store_unavailable
     if digest.members is not None:
         peer.members = digest.members
     _replace_loads(peer, digest.sender, digest.loads, find)
@@ -258,13 +260,13 @@
     return True
 
 
-def is_teacher(name: str, others: Iterable[str], newcomer: str) -> bool:
+def is_cache_sender(name: str, others: Iterable[str], newcomer: str) -> bool:
     """Whether an entry is one of those that tell a newcomer what caches hold."""
     heard = sorted({name, *others} - {newcomer})
-    return name in heard[:TEACHERS]
+    return name in heard[:CACHE_SENDERS]
 
 
-def forget_silent(
+def remove_timed_out_peers(
     peers: dict[str, PeerView], now: float, find: FindEngine
 ) -> list[str]:
     """Forget the load of peers that fell silent, and return their names."""
@@ -280,7 +282,7 @@
 
 
 def _is_silent(peer: PeerView, now: float) -> bool:
-    most_s = RELAY_SILENCE_S if peer.is_relay else SILENCE_S
+    most_s = RELAY_TIMEOUT_S if peer.is_relay else PEER_TIMEOUT_S
     return now - peer.heard_at > most_s
 
 
--- a/src/robinspindle/core/soundness.py
+++ b/src/robinspindle/core/peervalidation.py
@@ -6,30 +6,37 @@
 
 import math
 
-from robinspindle.core.crashnews import is_believable
+from robinspindle.core.crashupdates import are_updates_valid
 from robinspindle.core.eras import MOST_ERA
+from robinspindle.core.peerdigests import (
+    Cache,
+    ConfigurationAge,
+    Digest,
+    Facts,
+    Load,
+    Placement,
+)
 from robinspindle.core.prefillmodel import FitSums
-from robinspindle.core.sharing import Cache, Checked, Digest, Facts, Load, Placement
 from robinspindle.core.urgency import LEVELS
-from robinspindle.core.usage import is_account
+from robinspindle.core.usage import is_valid_account
 
-MOST_REQUESTS = 100_000
+MAX_REQUESTS = 100_000
 """More requests at one engine than this are no count of requests: some hundred times
 what the largest of today's engines takes."""
 
-MOST_WORK_MS = 3_600_000
+MAX_WORK_MS = 3_600_000
 """More work at one engine than an hour is no work that is under way, milliseconds."""
 
-MOST_TOKENS = 100_000_000
+MAX_TOKENS = 100_000_000
 """No part of a prompt has more tokens: hundreds of times an engine's memory."""
 
-MOST_AGE_MS = 1 << 40
+MAX_AGE_MS = 1 << 40
 """No configuration has been checked longer ago, milliseconds: 30 years."""
 
-MOST_WALL_MS = 1 << 43
+MAX_WALL_MS = 1 << 43
 """No time of day is later, Unix milliseconds: the year 2248."""
 
-MOST_SUM = 1e12
+MAX_SUM = 1e12
 """No sum over readings that fade is larger: 100 readings of weight 1 each, scaled."""
 
 
@@ -41,55 +48,55 @@
         return "loads"
     if not all(_is_placement(placement) for placement in digest.placements):
         return "placements"
-    if not all(0.0 <= rate < MOST_SUM for rate in digest.read_rates.values()):
+    if not all(0.0 <= rate < MAX_SUM for rate in digest.prefill_loads.values()):
         return "rates"
-    if not all(_are_sums(told.sums) for told in digest.learnt):
+    if not all(_are_sums(told.sums) for told in digest.prefill_statistics):
         return "paces"
     if not all(_is_cache(cache) for cache in digest.caches):
         return "caches"
     if not 0 <= digest.era <= MOST_ERA:
         return "era"
-    if digest.requests is not None and not is_believable(digest.requests):
+    if digest.requests is not None and not are_updates_valid(digest.requests):
         return "requests"
     return None
 
 
-def are_facts(facts: Facts) -> bool:
+def are_facts_valid(facts: Facts) -> bool:
     """Whether what a peer tells besides its work can be believed."""
     clocks = (facts.wall_ms, facts.agreed_ms)
     return (
-        (facts.checked is None or _is_checked(facts.checked))
-        and all(0 <= ms <= MOST_WALL_MS for ms in clocks)
-        and all(is_account(account) for account in facts.counts)
+        (facts.configuration_age is None or _is_checked(facts.configuration_age))
+        and all(0 <= ms <= MAX_WALL_MS for ms in clocks)
+        and all(is_valid_account(account) for account in facts.counts)
     )
 
 
-def _is_checked(checked: Checked) -> bool:
-    return checked.version >= 0 and 0 <= checked.age_ms <= MOST_AGE_MS
+def _is_checked(checked: ConfigurationAge) -> bool:
+    return checked.version >= 0 and 0 <= checked.age_ms <= MAX_AGE_MS
 
 
 def _is_load(load: Load) -> bool:
     return (
         len(load.work_ms) == LEVELS
-        and all(0 <= ms <= MOST_WORK_MS for ms in load.work_ms)
-        and 0 <= load.in_flight <= MOST_REQUESTS
-        and 0 <= load.long_answers <= MOST_REQUESTS
+        and all(0 <= ms <= MAX_WORK_MS for ms in load.work_ms)
+        and 0 <= load.in_flight <= MAX_REQUESTS
+        and 0 <= load.long_answers <= MAX_REQUESTS
         and load.heard_ms_ago >= 0
     )
 
 
 def _is_placement(placement: Placement) -> bool:
     return (
-        0 <= placement.work_ms <= MOST_WORK_MS
+        0 <= placement.work_ms <= MAX_WORK_MS
         and 0 <= placement.level < LEVELS
-        and all(0 <= tokens <= MOST_TOKENS for _, tokens in placement.parts)
+        and all(0 <= tokens <= MAX_TOKENS for _, tokens in placement.parts)
     )
 
 
 def _is_cache(cache: Cache) -> bool:
-    return all(0 <= tokens <= MOST_TOKENS for _, tokens in cache.parts)
+    return all(0 <= tokens <= MAX_TOKENS for _, tokens in cache.parts)
 
 
 def _are_sums(sums: FitSums) -> bool:
     values = (sums.weight, *sums.products, *sums.results)
-    return all(0.0 <= value < MOST_SUM for value in values)
+    return all(0.0 <= value < MAX_SUM for value in values)
--- a/src/robinspindle/core/presence.py
+++ b/src/robinspindle/core/presence.py
@@ -27,26 +27,26 @@
 
     Attributes:
         known: Those that were heard lately, by name.
-        looked_at: When it was last looked who is heard, steady seconds; None before.
-        began_at: When it was first looked; who was heard before is not known.
+        checked_at: When it was last looked who is heard, steady seconds; None before.
+        first_checked_at: When it was first looked; who was heard before is not known.
     """
 
     known: dict[str, Presence] = field(default_factory=dict)
-    looked_at: float | None = None
-    began_at: float | None = None
+    checked_at: float | None = None
+    first_checked_at: float | None = None
 
 
 def note_heard(presences: Presences, names: Iterable[str], now: float) -> None:
     """Take note of who is heard at one look, and forget who was not for long."""
-    if presences.began_at is None:
-        presences.began_at = now
+    if presences.first_checked_at is None:
+        presences.first_checked_at = now
     for name in names:
         known = presences.known.get(name)
-        if known is None or known.heard_at != presences.looked_at:
+        if known is None or known.heard_at != presences.checked_at:
             presences.known[name] = Presence(now, now)
         else:
             known.heard_at = now
-    presences.looked_at = now
+    presences.checked_at = now
     presences.known = {
         name: known
         for name, known in presences.known.items()
@@ -54,7 +54,7 @@
     }
 
 
-def count_lately(presences: Presences, now: float, within_s: float) -> int:
+def count_heard_within(presences: Presences, now: float, within_s: float) -> int:
     """Count the gateways that were heard within a time, seconds."""
     return sum(now - one.heard_at <= within_s for one in presences.known.values())
 
@@ -72,14 +72,16 @@
         least_s: How long each has to be heard without a gap, seconds.
     """
     names = set(presences.known)
-    began_at = now if presences.began_at is None else presences.began_at
-    if now - began_at < REMEMBERED_S:
+    first_checked_at = (
+        now if presences.first_checked_at is None else presences.first_checked_at
+    )
+    if now - first_checked_at < REMEMBERED_S:
         names |= set(named)
     return all(_is_back(presences, name, now, least_s) for name in names)
 
 
 def _is_back(presences: Presences, name: str, now: float, least_s: float) -> bool:
     known = presences.known.get(name)
-    if known is None or known.heard_at != presences.looked_at:
+    if known is None or known.heard_at != presences.checked_at:
         return False
     return now - known.since >= least_s
--- a/src/robinspindle/core/quarantine.py
+++ b/src/robinspindle/core/quarantine.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from robinspindle.core.fingerprints import Fingerprint, get_mark, is_fingerprint
+from robinspindle.core.fingerprints import Fingerprint, get_head_hash, is_fingerprint
 from robinspindle.core.lifetimes import is_id
 from robinspindle.exceptions import BadDocumentError
 
@@ -20,21 +20,21 @@
 """After so long in quarantine a request may run once more, seconds; then after twice as
 long each time. It costs a target each time if the request is to blame."""
 
-MOST_TRIALS = 3
+MAX_TRIALS = 3
 """Trials in all: with the crashes before them six, three of them after the verdict was
 known to all, as many as the platform allows. Then only an operator releases it."""
 
-LONGEST_S = 3600.0
+MAX_RETRY_S = 3600.0
 """The longest hint that a caller gets, seconds: nobody keeps a request for longer."""
 
-MOST_KEPT = 256
+MAX_ENTRIES = 256
 """Requests in quarantine that are kept, 0.2 MB: 75 times what was ever seen at once.
 The oldest falls out first, and has to crash targets anew to come back."""
 
-MOST_TOLD_CRASHES = 8
+MAX_NAMED_CRASHES = 8
 """Crashes that are named as the reason, the first ones."""
 
-MOST_NAME_LENGTH = 200
+MAX_NAME_LENGTH = 200
 """Characters of a request's host and path that are kept for operators."""
 
 KEY_PREFIX = "quarantine/"
@@ -76,18 +76,18 @@
 
     Attributes:
         entries: By fingerprint, the oldest first.
-        marks: Marks of all that are turned away.
+        head_hashes: Marks of all that are turned away.
         stored: What the store holds, by fingerprint.
         own: When what this gateway said itself was said, by fingerprint.
     """
 
     entries: dict[Fingerprint, Entry] = field(default_factory=dict)
-    marks: set[bytes] = field(default_factory=set)
+    head_hashes: set[bytes] = field(default_factory=set)
     stored: dict[Fingerprint, Entry] = field(default_factory=dict)
     own: dict[Fingerprint, int] = field(default_factory=dict)
 
 
-def take_entry(quarantine: Quarantine, entry: Entry) -> bool:
+def merge_entry(quarantine: Quarantine, entry: Entry) -> bool:
     """Take in what is said of a request.
 
     Returns:
@@ -99,7 +99,9 @@
     quarantine.entries.pop(entry.fingerprint, None)
     quarantine.entries[entry.fingerprint] = entry
     _keep_newest(quarantine.entries)
-    quarantine.marks = {get_mark(e.fingerprint) for e in list_turned_away(quarantine)}
+    quarantine.head_hashes = {
+        get_head_hash(e.fingerprint) for e in list_quarantined(quarantine)
+    }
     return True
 
 
@@ -109,9 +111,9 @@
     _keep_newest(quarantine.stored)
 
 
-def take_own_entry(quarantine: Quarantine, entry: Entry) -> bool:
+def merge_own_entry(quarantine: Quarantine, entry: Entry) -> bool:
     """Take in what this gateway says of a request itself; whether it is news."""
-    is_news = take_entry(quarantine, entry)
+    is_news = merge_entry(quarantine, entry)
     if is_news:
         quarantine.own[entry.fingerprint] = entry.at_ms
         _keep_newest(quarantine.own)
@@ -124,7 +126,7 @@
 
 
 def _keep_newest(kept: dict) -> None:
-    while len(kept) > MOST_KEPT:
+    while len(kept) > MAX_ENTRIES:
         del kept[next(iter(kept))]
 
 
@@ -136,13 +138,13 @@
     quarantine.stored.pop(fingerprint, None)
 
 
-def list_turned_away(quarantine: Quarantine) -> list[Entry]:
+def list_quarantined(quarantine: Quarantine) -> list[Entry]:
     """List the entries of all requests that are turned away."""
     entries = quarantine.entries.values()
     return [e for e in entries if e.standing is Standing.QUARANTINED]
 
 
-def find_turned_away(quarantine: Quarantine, fingerprint: Fingerprint) -> Entry | None:
+def find_quarantined(quarantine: Quarantine, fingerprint: Fingerprint) -> Entry | None:
     """Find why a request is turned away; None if it is not."""
     entry = quarantine.entries.get(fingerprint)
     if entry is None or entry.standing is not Standing.QUARANTINED:
@@ -166,7 +168,7 @@
     Returns:
         None where only an operator releases it.
     """
-    if entry.trials >= MOST_TRIALS:
+    if entry.trials >= MAX_TRIALS:
         return None
     return entry.at_ms + int(FIRST_TRIAL_S * 1000) * 2**entry.trials
 
@@ -181,8 +183,8 @@
     """Find when a quarantined request may run again, seconds from now."""
     trial_at_ms = find_trial_at_ms(entry)
     if trial_at_ms is None:
-        return LONGEST_S
-    return min(LONGEST_S, max(0.0, (trial_at_ms - now_ms) / 1000))
+        return MAX_RETRY_S
+    return min(MAX_RETRY_S, max(0.0, (trial_at_ms - now_ms) / 1000))
 
 
 def begin_trial(entry: Entry, now_ms: int) -> Entry:
@@ -195,14 +197,14 @@
     fingerprint: Fingerprint, lifetimes: Iterable[str], name: str, now_ms: int
 ) -> Entry:
     """Make the entry of a request that is to be turned away from now on."""
-    told = tuple(sorted(lifetimes)[:MOST_TOLD_CRASHES])
-    name = name[:MOST_NAME_LENGTH]
+    told = tuple(sorted(lifetimes)[:MAX_NAMED_CRASHES])
+    name = name[:MAX_NAME_LENGTH]
     return Entry(fingerprint, Standing.QUARANTINED, now_ms, told, name)
 
 
-def adds_to(entry: Entry, lifetimes: set[str]) -> bool:
+def adds_crashes(entry: Entry, lifetimes: set[str]) -> bool:
     """Whether crashes are known that an entry does not name, and has room for."""
-    has_room = len(entry.lifetimes) < MOST_TOLD_CRASHES
+    has_room = len(entry.lifetimes) < MAX_NAMED_CRASHES
     return has_room and not lifetimes <= set(entry.lifetimes)
 
 
@@ -287,8 +289,8 @@
         fingerprint,
         standing,
         record.at_ms,
-        tuple(record.lifetimes[:MOST_TOLD_CRASHES]),
-        record.name[:MOST_NAME_LENGTH],
+        tuple(record.lifetimes[:MAX_NAMED_CRASHES]),
+        record.name[:MAX_NAME_LENGTH],
         record.trials,
     )
     fault = find_fault(entry)
@@ -303,7 +305,7 @@
         return "fingerprint"
     if entry.at_ms < 0:
         return "time"
-    if not 0 <= entry.trials <= MOST_TRIALS:
+    if not 0 <= entry.trials <= MAX_TRIALS:
         return "trials"
     if not all(is_lifetime(lifetime) for lifetime in entry.lifetimes):
         return "lifetimes"
--- a/src/robinspindle/core/relays.py
+++ b/src/robinspindle/core/relays.py
@@ -19,19 +19,19 @@
 """The most gateways in a group. A relay hears its group and the other relays: with 300
 gateways in five zones 34 senders, where one relay a zone would hear 64."""
 
-PATIENCE_S = 0.6
+RELAY_SILENCE_TIMEOUT_S = 0.6
 """How long a relay may stay silent before the next is chosen, seconds: three of the
 longest intervals between its datagrams, so that two may be lost."""
 
-DEAF_PATIENCE_S = 1.2
+RELAY_ECHO_TIMEOUT_S = 1.2
 """How long a relay may be heard without having heard us, seconds: twice as long, as it
 takes two datagrams to know."""
 
-REST_S = 3.0
+RELAY_RETRY_DELAY_S = 3.0
 """How long a relay that failed is passed over, seconds, also where it is heard again:
 one that is heard but deaf would otherwise be tried every second."""
 
-LEAST_INTERVAL_S = 0.02
+MIN_INTERVAL_S = 0.02
 """Least time between two tellings, seconds: about the time in which a prompt is read,
 so that a belief is at most one prompt behind."""
 
@@ -66,15 +66,15 @@
 
     Attributes:
         ranked: Names of each group's members, the first choice as relay first.
-        of: The number of each gateway's group, by name.
+        group_numbers: The number of each gateway's group, by name.
     """
 
     ranked: tuple[tuple[str, ...], ...] = ()
-    of: dict[str, int] = field(default_factory=dict)
+    group_numbers: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass
-class Contact:
+class RelayContact:
     """What is known of one gateway as a relay.
 
     Attributes:
@@ -89,7 +89,7 @@
 
 
 @dataclass
-class Choice:
+class RelayChoice:
     """Whom a gateway tells its news to.
 
     Attributes:
@@ -100,16 +100,16 @@
 
     relay: str = ""
     since: float = -math.inf
-    contacts: dict[str, Contact] = field(default_factory=dict)
+    contacts: dict[str, RelayContact] = field(default_factory=dict)
 
 
-def encode_introduction(member: Member) -> bytes:
+def encode_member(member: Member) -> bytes:
     """Write what a gateway tells of itself, without its name."""
     text = f"{member.host}:{member.port} {member.zone} {member.capacity:g}"
     return text.encode()
 
 
-def decode_introduction(name: str, value: bytes) -> Member | None:
+def decode_member(name: str, value: bytes) -> Member | None:
     """Read what a gateway tells of itself; None for what can't be read.
 
     The address alone is enough: an earlier release tells no more.
@@ -152,10 +152,10 @@
     """Find the least time between two tellings, seconds; the same for all gateways."""
     largest = max((len(names) for names in groups.ranked), default=1)
     others = len(groups.ranked) - 1
-    return max(LEAST_INTERVAL_S, (largest - 1 + others) / RELAY_RATE)
+    return max(MIN_INTERVAL_S, (largest - 1 + others) / RELAY_RATE)
 
 
-def note_heard(choice: Choice, name: str, now: float, has_heard_us: bool) -> None:
+def note_heard(choice: RelayChoice, name: str, now: float, has_heard_us: bool) -> None:
     """Take note that a gateway was heard as a relay.
 
     Args:
@@ -164,13 +164,15 @@
         now: The present time, steady seconds.
         has_heard_us: Whether it shows that it has heard more of us than before.
     """
-    contact = choice.contacts.setdefault(name, Contact())
+    contact = choice.contacts.setdefault(name, RelayContact())
     contact.heard_at = now
     if has_heard_us:
         contact.echoed_at = now
 
 
-def choose_relay(choice: Choice, ranked: tuple[str, ...], own: str, now: float) -> bool:
+def choose_relay(
+    choice: RelayChoice, ranked: tuple[str, ...], own: str, now: float
+) -> bool:
     """Choose whom a gateway tells its news to: the first in order that has not failed.
 
     Args:
@@ -192,20 +194,20 @@
     return True
 
 
-def _give_up_silent(choice: Choice, own: str, now: float) -> None:
+def _give_up_silent(choice: RelayChoice, own: str, now: float) -> None:
     """Give the present relay up if it is silent or deaf."""
     if choice.relay in ("", own):
         return
-    contact = choice.contacts.setdefault(choice.relay, Contact())
-    is_silent = now - max(contact.heard_at, choice.since) > PATIENCE_S
-    is_deaf = now - max(contact.echoed_at, choice.since) > DEAF_PATIENCE_S
+    contact = choice.contacts.setdefault(choice.relay, RelayContact())
+    is_silent = now - max(contact.heard_at, choice.since) > RELAY_SILENCE_TIMEOUT_S
+    is_deaf = now - max(contact.echoed_at, choice.since) > RELAY_ECHO_TIMEOUT_S
     if is_silent or is_deaf:
         contact.failed_at = now
 
 
-def _may_relay(choice: Choice, name: str, now: float) -> bool:
+def _may_relay(choice: RelayChoice, name: str, now: float) -> bool:
     contact = choice.contacts.get(name)
     if contact is None or contact.failed_at == -math.inf:
         return True
     is_back = contact.heard_at > contact.failed_at
-    return is_back and now - contact.failed_at > REST_S
+    return is_back and now - contact.failed_at > RELAY_RETRY_DELAY_S
--- a/src/robinspindle/core/tellings.py
+++ b/src/robinspindle/core/retransmission.py
@@ -6,15 +6,15 @@
 
 Key = TypeVar("Key", bound=Hashable)
 
-TIMES = 4
-PAUSE_S = 0.15
+TRANSMISSIONS = 4
+RETRANSMIT_INTERVAL_S = 0.15
 """How often news are told, and the least time between, seconds: at three lost datagrams
 in a hundred and three hops, one of 7,000 news is missed by somebody, and all are told
 well within a second."""
 
 
 @dataclass
-class Telling:
+class Retransmission:
     """How one piece of news is still to be told.
 
     Attributes:
@@ -23,32 +23,32 @@
     """
 
     due_at: float
-    left: int = TIMES
+    left: int = TRANSMISSIONS
 
 
 @dataclass
-class Tellings(Generic[Key]):
+class Retransmissions(Generic[Key]):
     """All news that are still to be told, by a key."""
 
-    due: dict[Key, Telling] = field(default_factory=dict)
+    due: dict[Key, Retransmission] = field(default_factory=dict)
 
 
-def begin_telling(tellings: Tellings[Key], key: Key, now: float) -> None:
+def start_sending(tellings: Retransmissions[Key], key: Key, now: float) -> None:
     """Tell news from now on, also where the same were told before."""
-    tellings.due[key] = Telling(now)
+    tellings.due[key] = Retransmission(now)
 
 
-def stop_telling(tellings: Tellings[Key], key: Key) -> None:
+def stop_sending(tellings: Retransmissions[Key], key: Key) -> None:
     """Tell news no more."""
     tellings.due.pop(key, None)
 
 
-def take_due(tellings: Tellings[Key], now: float) -> list[Key]:
+def take_due(tellings: Retransmissions[Key], now: float) -> list[Key]:
     """Take the keys of what is to be told now."""
     keys = [key for key, telling in tellings.due.items() if now >= telling.due_at]
     for key in keys:
         telling = tellings.due[key]
-        telling.due_at = now + PAUSE_S
+        telling.due_at = now + RETRANSMIT_INTERVAL_S
         telling.left -= 1
         if telling.left == 0:
             del tellings.due[key]
--- a/src/robinspindle/core/usage.py
+++ b/src/robinspindle/core/usage.py
@@ -14,14 +14,14 @@
 
 import msgspec
 
-MOST_TOLD = 1024
+MAX_COUNTS_PER_DATAGRAM = 1024
 """Counts that are told in one datagram, 12 KB where they are many: a relay that starts
 has heard what it needs within a second."""
 
-MOST_REPLACED = 4096
+MAX_REPLACED_CHANGES = 4096
 """Changes beyond twice the counts that are kept although later ones replaced them."""
 
-MOST_COUNT = 10**9
+MAX_COUNT = 10**9
 """No workspace has more requests run in one window."""
 
 
@@ -30,36 +30,37 @@
 
     Attributes:
         gateway: Its name.
-        life: When it started, Unix milliseconds; its counts begin anew with each.
+        incarnation: When it started, Unix milliseconds; its counts begin anew with
+            each.
         window: The window's number.
         counts: Requests that began to run, by workspace.
     """
 
     gateway: str
-    life: int
+    incarnation: int
     window: int
     counts: dict[str, int]
 
 
 @dataclass(frozen=True)
-class Place:
+class CountKey:
     """Whose count of what one is.
 
     Attributes:
         gateway: The gateway that counted.
-        life: Its start, Unix milliseconds.
+        incarnation: Its start, Unix milliseconds.
         window: The window's number.
         workspace: The workspace.
     """
 
     gateway: str
-    life: int
+    incarnation: int
     window: int
     workspace: str
 
 
 @dataclass
-class Confirmed:
+class NeighbourProgress:
     """How far one neighbour knows the counts.
 
     Attributes:
@@ -85,11 +86,11 @@
         neighbours: How far each neighbour knows them, by name.
     """
 
-    counts: dict[int, dict[Place, int]] = field(default_factory=dict)
-    changes: dict[Place, int] = field(default_factory=dict)
-    order: list[tuple[int, Place]] = field(default_factory=list)
+    counts: dict[int, dict[CountKey, int]] = field(default_factory=dict)
+    changes: dict[CountKey, int] = field(default_factory=dict)
+    order: list[tuple[int, CountKey]] = field(default_factory=list)
     change: int = 0
-    neighbours: dict[str, Confirmed] = field(default_factory=dict)
+    neighbours: dict[str, NeighbourProgress] = field(default_factory=dict)
 
 
 def find_window(wall_s: float, window_s: float) -> int:
@@ -97,29 +98,31 @@
     return int(wall_s // window_s)
 
 
-def make_life(started: float) -> int:
+def make_incarnation(started: float) -> int:
     """Make the name of a life from its start, Unix seconds."""
     return round(started * 1000) if math.isfinite(started) else 0
 
 
-def count_begun(
+def count_started_request(
     ledger: Ledger, gateway: str, life: int, window: int, workspace: str
 ) -> None:
     """Count one request of our own that began to run."""
-    place = Place(gateway, life, window, workspace)
+    place = CountKey(gateway, life, window, workspace)
     _set(ledger, place, _read(ledger, place) + 1)
 
 
-def take_accounts(ledger: Ledger, accounts: Iterable[Account]) -> None:
+def merge_accounts(ledger: Ledger, accounts: Iterable[Account]) -> None:
     """Take in what a neighbour tells, or the store holds."""
     for account in accounts:
         for workspace, count in account.counts.items():
-            place = Place(account.gateway, account.life, account.window, workspace)
+            place = CountKey(
+                account.gateway, account.incarnation, account.window, workspace
+            )
             if count > _read(ledger, place):
                 _set(ledger, place, count)
 
 
-def tell_again(ledger: Ledger, gateways: Iterable[str]) -> None:
+def resend_counts(ledger: Ledger, gateways: Iterable[str]) -> None:
     """Tell all neighbours again what some gateways counted, as they may be gone.
 
     Their own relay may have gone with them, and told only some.
@@ -129,7 +132,7 @@
         _set(ledger, place, _read(ledger, place))
 
 
-def list_untold(
+def list_unconfirmed(
     ledger: Ledger, neighbour: str, started: float, number: int, left_out: set[str]
 ) -> list[Account]:
     """List what a neighbour has not confirmed, the oldest change first.
@@ -142,18 +145,18 @@
         left_out: The gateways of whose counts it is not told.
     """
     known = _find_confirmed(ledger, neighbour, started)
-    told: list[Place] = []
+    told: list[CountKey] = []
     last = known.change
     # From the oldest that is not confirmed: what is looked at hangs on what is told.
     for change, place in _list_changes(ledger, known.change):
-        if len(told) == MOST_TOLD:
+        if len(told) == MAX_COUNTS_PER_DATAGRAM:
             break
         last = change
         if ledger.changes.get(place) != change:
             continue
         # What an earlier life of the neighbour counted it does not know any more.
         is_own = place.gateway == neighbour
-        knows = place.life == make_life(started) if is_own else False
+        knows = place.incarnation == make_incarnation(started) if is_own else False
         if not knows and (is_own or place.gateway not in left_out):
             told.append(place)
     known.told[number] = last
@@ -176,12 +179,12 @@
     return any(known.change >= last for known in ledger.neighbours.values())
 
 
-def describe_account(ledger: Ledger, gateway: str, window: int) -> list[Account]:
+def list_accounts(ledger: Ledger, gateway: str, window: int) -> list[Account]:
     """Describe all that a gateway counted in a window, for each of its lives."""
     return _gather(ledger, _list_places(ledger, gateway, window))
 
 
-def add_up(ledger: Ledger, window: int) -> dict[str, int]:
+def sum_by_workspace(ledger: Ledger, window: int) -> dict[str, int]:
     """Add a window's counts up by workspace."""
     totals: dict[str, int] = {}
     for place, count in ledger.counts.get(window, {}).items():
@@ -214,19 +217,19 @@
         _drop_replaced(ledger)
 
 
-def is_account(account: Account) -> bool:
+def is_valid_account(account: Account) -> bool:
     """Whether what a neighbour tells can be counts at all."""
     return account.window >= 0 and all(
-        0 < count <= MOST_COUNT for count in account.counts.values()
+        0 < count <= MAX_COUNT for count in account.counts.values()
     )
 
 
-def _set(ledger: Ledger, place: Place, count: int) -> None:
+def _set(ledger: Ledger, place: CountKey, count: int) -> None:
     ledger.change += 1
     ledger.counts.setdefault(place.window, {})[place] = count
     ledger.changes[place] = ledger.change
     ledger.order.append((ledger.change, place))
-    if len(ledger.order) > MOST_REPLACED + 2 * len(ledger.changes):
+    if len(ledger.order) > MAX_REPLACED_CHANGES + 2 * len(ledger.changes):
         _drop_replaced(ledger)
 
 
@@ -236,31 +239,33 @@
     ledger.order = [pair for pair in ledger.order if changes.get(pair[1]) == pair[0]]
 
 
-def _list_changes(ledger: Ledger, after: int) -> Iterator[tuple[int, Place]]:
+def _list_changes(ledger: Ledger, after: int) -> Iterator[tuple[int, CountKey]]:
     """List the changes after one, the oldest first."""
     start = bisect_right(ledger.order, after, key=lambda pair: pair[0])
     return islice(ledger.order, start, None)
 
 
-def _read(ledger: Ledger, place: Place) -> int:
+def _read(ledger: Ledger, place: CountKey) -> int:
     return ledger.counts.get(place.window, {}).get(place, 0)
 
 
-def _list_places(ledger: Ledger, gateway: str, window: int) -> list[Place]:
+def _list_places(ledger: Ledger, gateway: str, window: int) -> list[CountKey]:
     return [p for p in ledger.counts.get(window, {}) if p.gateway == gateway]
 
 
-def _find_confirmed(ledger: Ledger, neighbour: str, started: float) -> Confirmed:
+def _find_confirmed(
+    ledger: Ledger, neighbour: str, started: float
+) -> NeighbourProgress:
     known = ledger.neighbours.get(neighbour)
     if known is None or known.started != started:
-        known = ledger.neighbours[neighbour] = Confirmed(started)
+        known = ledger.neighbours[neighbour] = NeighbourProgress(started)
     return known
 
 
-def _gather(ledger: Ledger, places: Iterable[Place]) -> list[Account]:
+def _gather(ledger: Ledger, places: Iterable[CountKey]) -> list[Account]:
     accounts: dict[tuple[str, int, int], Account] = {}
     for place in places:
-        key = (place.gateway, place.life, place.window)
+        key = (place.gateway, place.incarnation, place.window)
         account = accounts.setdefault(key, Account(*key, {}))
         account.counts[place.workspace] = _read(ledger, place)
     return list(accounts.values())
--- a/src/robinspindle/core/reports.py
+++ b/src/robinspindle/core/usagereports.py
@@ -25,10 +25,10 @@
 """Part of it after which a gateway whose counts no neighbour has confirmed writes them
 into the store: before they are decided on."""
 
-OVERDUE_SHARE = 0.4
+TAKEOVER_SHARE = 0.4
 """Part of it after which the next gateway in order reports a window."""
 
-STEP_SHARE = 0.1
+TAKEOVER_STEP_SHARE = 0.1
 """Part of it between one gateway in that order and the next."""
 
 INCOMPLETE_SHARE = 0.35
@@ -37,11 +37,11 @@
 Most that are silent are restarted and tell nothing more, and the store or the platform
 may be lost before a late report."""
 
-ALONE_SHARE = 0.85
+MINORITY_SHARE = 0.85
 """Part of it after which a gateway that hears few others decides all the same: those
 that hear each other go first, as they know more."""
 
-GIVE_UP_LATENESSES = 3.0
+GIVE_UP_FACTOR = 3.0
 """Times the allowed lateness after which a report that can't be sent is given up."""
 
 WINDOW_KEYS = 64
@@ -142,7 +142,7 @@
     return True
 
 
-def forget_store(reports: Reports) -> None:
+def forget_store_offsets(reports: Reports) -> None:
     """Take note that the store returned from a copy: offsets are given out anew."""
     reports.last = None
 
@@ -182,11 +182,11 @@
 
 def find_oldest(schedule: Schedule, wall_s: float) -> int:
     """Find the oldest window whose report is not given up yet."""
-    lasting_s = schedule.late_s * GIVE_UP_LATENESSES
+    lasting_s = schedule.late_s * GIVE_UP_FACTOR
     return int((wall_s - lasting_s) // schedule.window_s)
 
 
-def find_turn_s(
+def find_report_delay_s(
     schedule: Schedule, place: int, hears_most: bool, hears_all: bool
 ) -> float:
     """Find how long after a window's end a gateway reports it, seconds.
@@ -197,9 +197,13 @@
         hears_most: Whether it hears most of those that were heard lately.
         hears_all: Whether it hears all of them.
     """
-    first = DECIDE_SHARE if place == 0 else OVERDUE_SHARE + STEP_SHARE * (place - 1)
-    patient = 0.0 if hears_all else INCOMPLETE_SHARE + STEP_SHARE * place
-    alone = 0.0 if hears_most else ALONE_SHARE
+    first = (
+        DECIDE_SHARE
+        if place == 0
+        else TAKEOVER_SHARE + TAKEOVER_STEP_SHARE * (place - 1)
+    )
+    patient = 0.0 if hears_all else INCOMPLETE_SHARE + TAKEOVER_STEP_SHARE * place
+    alone = 0.0 if hears_most else MINORITY_SHARE
     return schedule.late_s * max(first, patient, alone)
 
 
--- a/src/robinspindle/crashwatch.py
+++ b/src/robinspindle/crashwatch.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from robinspindle.core import targets
-from robinspindle.core.fingerprints import NamedRequest
+from robinspindle.core.fingerprints import FingerprintedRequest
 from robinspindle.core.targets import Directory, Target
 from robinspindle.httpclient import ConnectionBrokenError
 from robinspindle.lifechecks import Life, LifeChecks
@@ -31,7 +31,7 @@
         stop: Breaks it off; None before it is sent.
     """
 
-    named: NamedRequest
+    named: FingerprintedRequest
     target: Target
     kind: str
     since: float
@@ -89,7 +89,9 @@
         self._checks = LifeChecks()
         self._pending: list[Broken] = []
 
-    def watch(self, named: NamedRequest, target: Target, kind: str) -> "Watched":
+    def watch(
+        self, named: FingerprintedRequest, target: Target, kind: str
+    ) -> "Watched":
         """Keep a sending among the runs, and see why it breaks if it does.
 
         Returns:
--- a/src/robinspindle/duties.py
+++ b/src/robinspindle/duties.py
@@ -5,7 +5,7 @@
 
 from robinspindle.adapters import Adapter
 from robinspindle.core.authority import Authority
-from robinspindle.core.reports import Reports, Schedule
+from robinspindle.core.usagereports import Reports, Schedule
 from robinspindle.dutycalls import Call, DutyOutcome, make_sender
 from robinspindle.dutylog import DutyLog
 from robinspindle.dutyturns import DutyTurns
--- a/src/robinspindle/dutylog.py
+++ b/src/robinspindle/dutylog.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from robinspindle.core import authority as claims
-from robinspindle.core import reports, usage
+from robinspindle.core import usage, usagereports
 from robinspindle.core.authority import Authority, Claim
 from robinspindle.core.eras import make_fence
-from robinspindle.core.reports import CLAIM_KEY, Record, Reports, Spilled
+from robinspindle.core.usagereports import CLAIM_KEY, Record, Reports, Spilled
 from robinspindle.exceptions import RecordsTrimmedError
 from robinspindle.following import KeyedStore
 from robinspindle.logs import Log
@@ -48,7 +48,7 @@
     def note_era(self, era: int) -> None:
         """Take note that the store has returned from a copy."""
         claims.note_era(self.authority, self._clock(), era)
-        reports.forget_store(self.reports)
+        usagereports.forget_store_offsets(self.reports)
         self.must_read = True
         self.claim = None
 
@@ -108,7 +108,7 @@
         await self._store.append_keyed(self._topic, key, data, expected_end=end)
         self.must_read = False
         authority.end = end + 1
-        reports.take_record(self.reports, record)
+        usagereports.take_record(self.reports, record)
         claims.note_claim(authority, self._clock(), authority.name)
         self.claim = Claim(record.fence, sent_at, era)
 
@@ -130,7 +130,9 @@
         if record is None:
             await self.append(CLAIM_KEY, None, {})
         else:
-            await self.append(reports.make_window_key(window), window, record.counts)
+            await self.append(
+                usagereports.make_window_key(window), window, record.counts
+            )
         return self.claim if self._is_usable() else None
 
     async def write_spilled(self, key: str, spilled: Spilled) -> None:
@@ -157,13 +159,13 @@
     def _take(self, key: str, value: bytes | None) -> None:
         if value is None:
             return
-        kind = Spilled if reports.is_spill_key(key) else Record
+        kind = Spilled if usagereports.is_spill_key(key) else Record
         try:
             found = msgspec.json.decode(value, type=kind)
         except msgspec.MsgspecError as error:
             self._log("record of duties can't be read", record=key, error=str(error))
             return
         if isinstance(found, Spilled):
-            self._book.take(filter(usage.is_account, found.accounts))
-        elif reports.take_record(self.reports, found):
+            self._book.take(filter(usage.is_valid_account, found.accounts))
+        elif usagereports.take_record(self.reports, found):
             claims.note_claim(self.authority, self._clock(), found.holder)
--- a/src/robinspindle/dutyturns.py
+++ b/src/robinspindle/dutyturns.py
@@ -82,7 +82,7 @@
         views = self._peers.views.values()
         if any(v.is_relay and self._now - v.heard_at > STALE_S for v in views):
             return False
-        lately = presence.count_lately(self._presences, self._now, HEARD_S)
+        lately = presence.count_heard_within(self._presences, self._now, HEARD_S)
         return heard * 2 >= lately
 
     def is_first(self) -> bool:
--- a/src/robinspindle/fleet.py
+++ b/src/robinspindle/fleet.py
@@ -3,9 +3,9 @@
 from robinspindle.core import health, prefillmodel, silence
 from robinspindle.core.engines import Engine, make_engine, note_earlier_cache
 from robinspindle.core.forwarding import Part
+from robinspindle.core.peerdigests import NEVER_HEARD_MS, Cache, Load, PrefillStatistics
 from robinspindle.core.prefillmodel import PrefillModel
 from robinspindle.core.routes import EngineSpec, RouteTable
-from robinspindle.core.sharing import NEVER_HEARD_MS, Cache, Learnt, Load
 from robinspindle.core.targets import Directory, Target
 from robinspindle.gatewaysettings import HostPort
 from robinspindle.httpclient import ConnectionPool, DecodeHead
@@ -100,15 +100,15 @@
             self._paces[key] = prefillmodel.make_prefill_model(prefill_only)
         return self._paces[key]
 
-    def list_learnt(self) -> list[Learnt]:
+    def list_learnt(self) -> list[PrefillStatistics]:
         """List what this gateway has learnt of paces by itself."""
         return [
-            Learnt(service, prefill_only, pace.own)
+            PrefillStatistics(service, prefill_only, pace.own)
             for (service, prefill_only), pace in self._paces.items()
             if pace.own.weight > 0
         ]
 
-    def note_learnt(self, peer: str, learnt: list[Learnt]) -> None:
+    def note_learnt(self, peer: str, learnt: list[PrefillStatistics]) -> None:
         """Take note of what a peer has learnt of paces."""
         for told in learnt:
             pace = self.find_pace(told.service, told.prefill_only)
--- a/src/robinspindle/gateway.py
+++ b/src/robinspindle/gateway.py
@@ -21,9 +21,9 @@
 from robinspindle.core.freshness import Freshness, may_serve, must_renew
 from robinspindle.core.lengths import Lengths
 from robinspindle.core.pauses import Pause
-from robinspindle.core.relays import Member, encode_introduction
+from robinspindle.core.relays import Member, encode_member
 from robinspindle.core.targets import Directory, Target
-from robinspindle.core.usage import make_life
+from robinspindle.core.usage import make_incarnation
 from robinspindle.duties import Duties
 from robinspindle.fleet import Fleet
 from robinspindle.following import follow, note_new_era
@@ -98,7 +98,7 @@
         self.peers = Peers(_describe_own(settings), time.time())
         self.book = UsageBook(
             settings.name,
-            make_life(self.peers.started),
+            make_incarnation(self.peers.started),
             self._clock,
             make_log("usage"),
         )
@@ -115,7 +115,7 @@
             self._store,
             adapter.gateways_topic,
             self.guard.quarantine,
-            self.guard.take_entry,
+            self.guard.merge_entry,
             self._find_place,
             self._clock,
             make_log("guard"),
@@ -139,7 +139,7 @@
             self._store,
             adapter.gateways_topic,
             settings.name,
-            lambda: encode_introduction(self.peers.own),
+            lambda: encode_member(self.peers.own),
             log,
         )
         limits = Limits()
@@ -262,7 +262,7 @@
         )
         self.metrics.pauses.inc()
         self.fleet.note_pause(now)
-        self._link.forget_silent(now)
+        self._link.remove_timed_out_peers(now)
         self.duties.note_pause()
         self._store.drop_connections()
         self._store_news.note_pause()
@@ -425,7 +425,7 @@
             if self.settings.policy.notices_silence:
                 for target in self.fleet.leave_silent(now):
                     self._note_silent(target, now)
-            self._link.forget_silent(now)
+            self._link.remove_timed_out_peers(now)
             self.guard.settle(now)
             self._callers.close_idle(now)
             self._readiness.close_idle(now)
--- a/src/robinspindle/gauges.py
+++ b/src/robinspindle/gauges.py
@@ -6,7 +6,7 @@
 from robinspindle.core import health
 from robinspindle.core.entries import UnusableEntries
 from robinspindle.core.freshness import Freshness
-from robinspindle.core.quarantine import list_turned_away
+from robinspindle.core.quarantine import list_quarantined
 from robinspindle.fleet import Fleet
 from robinspindle.following import KeyedStore
 from robinspindle.gatewaymetrics import GatewayMetrics
@@ -55,8 +55,8 @@
     _update_targets(metrics, parts, now)
     _update_peers(metrics, parts.peers, now)
     _update_store(metrics, parts.store)
-    metrics.quarantined.set(len(list_turned_away(parts.guard.quarantine)))
-    metrics.suspected.set(len(parts.guard.evidence.met))
+    metrics.quarantined.set(len(list_quarantined(parts.guard.quarantine)))
+    metrics.suspected.set(len(parts.guard.evidence.crashes_by_request))
     metrics.quarantine_unreadable.set(parts.count_unreadable())
     metrics.usage_missed.set(parts.reporter.missed)
     metrics.usage_reported.set(parts.reporter.count_reported())
--- a/src/robinspindle/guard.py
+++ b/src/robinspindle/guard.py
@@ -11,12 +11,16 @@
 
 from robinspindle.core import crashes, quarantine
 from robinspindle.core.crashes import Crash, Evidence
-from robinspindle.core.crashnews import CrashTellings
-from robinspindle.core.fingerprints import Fingerprint, NamedRequest, get_mark
+from robinspindle.core.crashupdates import PendingUpdates
+from robinspindle.core.fingerprints import (
+    Fingerprint,
+    FingerprintedRequest,
+    get_head_hash,
+)
 from robinspindle.core.forwarding import Refusal
 from robinspindle.core.quarantine import Entry, Quarantine, Standing
+from robinspindle.core.retransmission import start_sending
 from robinspindle.core.targets import Directory
-from robinspindle.core.tellings import begin_telling
 from robinspindle.crashwatch import CrashWatch, Run
 from robinspindle.logs import Log
 
@@ -75,7 +79,7 @@
         wall_ms: Tells the time of day, Unix milliseconds.
         evidence: What speaks against requests.
         quarantine: Who is turned away.
-        tellings: What is told to the peers.
+        pending_updates: What is told to the peers.
     """
 
     directory: Directory
@@ -86,7 +90,7 @@
     wall_ms: Callable[[], int] = read_wall_ms
     evidence: Evidence = field(default_factory=Evidence)
     quarantine: Quarantine = field(default_factory=Quarantine)
-    tellings: CrashTellings = field(default_factory=CrashTellings)
+    pending_updates: PendingUpdates = field(default_factory=PendingUpdates)
 
     def __post_init__(self):
         self.runs = CrashWatch(self.directory, self.clock, self.note_own_crash)
@@ -98,22 +102,25 @@
 
     # Asked before a request is sent.
 
-    def find_refusal(self, named: NamedRequest) -> Refusal | None:
+    def find_refusal(self, named: FingerprintedRequest) -> Refusal | None:
         """Find why a request must not be sent; None where it may be."""
         if named.is_trial:
             return None
-        if self.quarantine.marks and named.mark in self.quarantine.marks:
-            entry = quarantine.find_turned_away(self.quarantine, named.fingerprint)
+        if (
+            self.quarantine.head_hashes
+            and named.head_hash in self.quarantine.head_hashes
+        ):
+            entry = quarantine.find_quarantined(self.quarantine, named.fingerprint)
             if entry is not None:
                 return self._judge_quarantined(named, entry)
-        if self.evidence.marks and named.mark in self.evidence.marks:
+        if self.evidence.head_hashes and named.head_hash in self.evidence.head_hashes:
             if self._is_guilty(named.fingerprint):
                 return make_refusal(HELD_BACK_S)
             if self._runs_elsewhere(named):
                 return make_refusal(HELD_BACK_S)
         return None
 
-    def list_avoided(self, named: NamedRequest) -> set[str]:
+    def list_avoided(self, named: FingerprintedRequest) -> set[str]:
         """List lifetimes at which a suspected request had better not run.
 
         Others that are suspected run there: were the target to crash, nobody could
@@ -137,12 +144,12 @@
         while len(self._usual_s) > MOST_KINDS:
             del self._usual_s[next(iter(self._usual_s))]
 
-    def note_good_end(self, run: Run) -> None:
+    def note_success(self, run: Run) -> None:
         """Take note that a request ran to a good end."""
         self.note_length(run)
         named = run.named
         is_long = len(named.request.body) > MOST_REMEMBERED_BODY
-        if is_long and named.mark not in self.evidence.marks:
+        if is_long and named.head_hash not in self.evidence.head_hashes:
             return
         self._clear(named.fingerprint)
 
@@ -155,17 +162,17 @@
 
     def take_cleared(self, fingerprint: Fingerprint) -> None:
         """Take in that a suspected request ran to a good end at a peer."""
-        crashes.note_good_end(self.evidence, fingerprint, self.clock())
+        crashes.note_success(self.evidence, fingerprint, self.clock())
 
-    def take_entry(self, entry: Entry) -> None:
+    def merge_entry(self, entry: Entry) -> None:
         """Take in what a peer or the store says of a request."""
-        if not quarantine.take_entry(self.quarantine, entry):
+        if not quarantine.merge_entry(self.quarantine, entry):
             return
         self._log_entry(entry, "told")
         if entry.standing is Standing.QUARANTINED:
             self._stop_copies(entry.fingerprint)
         else:
-            crashes.acquit(self.evidence, entry.fingerprint)
+            crashes.discard_evidence(self.evidence, entry.fingerprint)
 
     # Done from time to time.
 
@@ -180,7 +187,9 @@
 
     # Inside.
 
-    def _judge_quarantined(self, named: NamedRequest, entry: Entry) -> Refusal | None:
+    def _judge_quarantined(
+        self, named: FingerprintedRequest, entry: Entry
+    ) -> Refusal | None:
         """Refuse what is in quarantine, unless a trial is due and ours to give."""
         now_ms = self.wall_ms()
         is_due = quarantine.may_try(entry, now_ms)
@@ -190,25 +199,25 @@
             return None
         return make_refusal(max(HELD_BACK_S, quarantine.find_retry_s(entry, now_ms)))
 
-    def _is_suspected(self, named: NamedRequest) -> bool:
-        if named.mark not in self.evidence.marks:
+    def _is_suspected(self, named: FingerprintedRequest) -> bool:
+        if named.head_hash not in self.evidence.head_hashes:
             return False
         return crashes.is_suspected(self.evidence, named.fingerprint)
 
     def _is_guilty(self, fingerprint: Fingerprint) -> bool:
-        met = crashes.count_met(self.evidence, fingerprint)
-        if met < crashes.LEAST_CRASHES:
+        met = crashes.count_crashes(self.evidence, fingerprint)
+        if met < crashes.MIN_CRASHES:
             return False
-        guilty = [e.fingerprint for e in quarantine.list_turned_away(self.quarantine)]
+        guilty = [e.fingerprint for e in quarantine.list_quarantined(self.quarantine)]
         count = self._count_targets(fingerprint)
-        return crashes.is_guilty(self.evidence, fingerprint, guilty, count)
+        return crashes.is_probable_cause(self.evidence, fingerprint, guilty, count)
 
     def _count_targets(self, fingerprint: Fingerprint) -> int:
         service = crashes.find_service(self.evidence, fingerprint)
         known = self.directory.targets.values()
         return sum(target.announced.service == service for target in known)
 
-    def _runs_elsewhere(self, named: NamedRequest) -> bool:
+    def _runs_elsewhere(self, named: FingerprintedRequest) -> bool:
         """Whether a copy of a suspected request is under way already."""
         return self._is_suspected(named) and any(
             run.named is not named and _is_same(run.named, named.fingerprint)
@@ -223,11 +232,11 @@
         crash = Crash(announced.lifetime, announced.service, at, runs)
         if not crashes.note_crash(self.evidence, crash, at):
             return
-        begin_telling(self.tellings.crashes, announced.lifetime, at)
+        start_sending(self.pending_updates.crashes, announced.lifetime, at)
         self.wake()
-        self.tellings.own_runs.setdefault(announced.lifetime, {}).update(runs)
+        self.pending_updates.own_runs.setdefault(announced.lifetime, {}).update(runs)
         self._names[named.fingerprint] = f"{named.request.host}{named.request.path}"
-        while len(self._names) > crashes.MOST_REQUESTS:
+        while len(self._names) > crashes.MAX_REQUESTS:
             del self._names[next(iter(self._names))]
         self.log(
             "target crashed under a request",
@@ -236,14 +245,14 @@
             request=named.request.id,
             fingerprint=named.fingerprint.hex(),
             ran_ms=round((at - run.since) * 1000),
-            crashes_met=crashes.count_met(self.evidence, named.fingerprint),
+            crashes_met=crashes.count_crashes(self.evidence, named.fingerprint),
         )
         self._judge_all(runs)
 
     def _judge_all(self, fingerprints: Iterable[Fingerprint]) -> None:
         """Hold back who is guilty by what is known, and judge them finally later."""
         for fingerprint in fingerprints:
-            if crashes.count_met(self.evidence, fingerprint) >= crashes.LEAST_CRASHES:
+            if crashes.count_crashes(self.evidence, fingerprint) >= crashes.MIN_CRASHES:
                 self._unjudged[fingerprint] = self._find_judging_at(fingerprint)
                 if self._is_guilty(fingerprint):
                     self._stop_copies(fingerprint)
@@ -256,10 +265,10 @@
 
     def _quarantine(self, fingerprint: Fingerprint) -> None:
         """Turn a request away from now on, unless all of its crashes are told."""
-        lifetimes = self.evidence.met[fingerprint]
+        lifetimes = self.evidence.crashes_by_request[fingerprint]
         known = self.quarantine.entries.get(fingerprint)
         is_known = known is not None and known.standing is Standing.QUARANTINED
-        if is_known and not quarantine.adds_to(known, lifetimes):
+        if is_known and not quarantine.adds_crashes(known, lifetimes):
             return
         name = self._names.get(fingerprint, "")
         entry = quarantine.make_entry(fingerprint, lifetimes, name, self.wall_ms())
@@ -269,19 +278,19 @@
 
     def _clear(self, fingerprint: Fingerprint) -> None:
         now = self.clock()
-        if crashes.note_good_end(self.evidence, fingerprint, now):
-            begin_telling(self.tellings.cleared, fingerprint, now)
+        if crashes.note_success(self.evidence, fingerprint, now):
+            start_sending(self.pending_updates.cleared, fingerprint, now)
             self.wake()
-        entry = quarantine.find_turned_away(self.quarantine, fingerprint)
+        entry = quarantine.find_quarantined(self.quarantine, fingerprint)
         if entry is not None:
             self._say(quarantine.release(entry, self.wall_ms()), "ran well")
 
     def _say(self, entry: Entry, why: str) -> None:
         """Take in an entry of our own, and tell the peers."""
-        if not quarantine.take_own_entry(self.quarantine, entry):
+        if not quarantine.merge_own_entry(self.quarantine, entry):
             return
         self._log_entry(entry, why)
-        begin_telling(self.tellings.entries, entry.fingerprint, self.clock())
+        start_sending(self.pending_updates.entries, entry.fingerprint, self.clock())
         self.wake()
         if entry.standing is Standing.QUARANTINED and why != "trial":
             self._stop_copies(entry.fingerprint)
@@ -303,6 +312,9 @@
         )
 
 
-def _is_same(named: NamedRequest, fingerprint: Fingerprint) -> bool:
+def _is_same(named: FingerprintedRequest, fingerprint: Fingerprint) -> bool:
     """Whether a request has a fingerprint; its body is read only if its mark agrees."""
-    return named.mark == get_mark(fingerprint) and named.fingerprint == fingerprint
+    return (
+        named.head_hash == get_head_hash(fingerprint)
+        and named.fingerprint == fingerprint
+    )
--- a/src/robinspindle/guardnews.py
+++ b/src/robinspindle/guardnews.py
@@ -1,35 +1,35 @@
 """What the guards of gateways tell each other, with the datagrams of peers."""
 
 from robinspindle.core.crashes import Crash
-from robinspindle.core.crashnews import (
-    CrashNews,
-    CrashTellings,
-    QuarantineNews,
-    RequestNews,
+from robinspindle.core.crashupdates import (
+    CrashUpdate,
+    PendingUpdates,
+    QuarantineUpdate,
+    RequestUpdates,
     read_crash,
     read_entry,
     write_crash,
     write_entry,
 )
 from robinspindle.core.fingerprints import Fingerprint
-from robinspindle.core.tellings import take_due
+from robinspindle.core.retransmission import take_due
 from robinspindle.guard import Guard
 
 
-def take_news(guard: Guard, news: RequestNews, now: float) -> None:
+def take_news(guard: Guard, news: RequestUpdates, now: float) -> None:
     """Take in what a peer tells; it must be believable."""
     for fingerprint in news.cleared:
         guard.take_cleared(Fingerprint(fingerprint))
     for crash in news.crashes:
         guard.take_crash(read_crash(crash, now))
     for entry in news.quarantine:
-        guard.take_entry(read_entry(entry))
+        guard.merge_entry(read_entry(entry))
 
 
-def list_news(guard: Guard, now: float) -> RequestNews:
+def list_news(guard: Guard, now: float) -> RequestUpdates:
     """List what is to be told now."""
-    told = guard.tellings
-    news = RequestNews(
+    told = guard.pending_updates
+    news = RequestUpdates(
         _list_crashes(guard, now),
         list(take_due(told.cleared, now)),
         _list_entries(guard, now),
@@ -38,23 +38,23 @@
     return news
 
 
-def _list_crashes(guard: Guard, now: float) -> list[CrashNews]:
+def _list_crashes(guard: Guard, now: float) -> list[CrashUpdate]:
     found = []
-    for lifetime in take_due(guard.tellings.crashes, now):
+    for lifetime in take_due(guard.pending_updates.crashes, now):
         known = guard.evidence.crashes.get(lifetime)
         if known is not None:
-            runs = guard.tellings.own_runs.get(lifetime, {})
+            runs = guard.pending_updates.own_runs.get(lifetime, {})
             own = Crash(lifetime, known.service, known.at, runs)
             found.append(write_crash(own, now))
     return found
 
 
-def _list_entries(guard: Guard, now: float) -> list[QuarantineNews]:
+def _list_entries(guard: Guard, now: float) -> list[QuarantineUpdate]:
     entries = guard.quarantine.entries
-    due = take_due(guard.tellings.entries, now)
+    due = take_due(guard.pending_updates.entries, now)
     return [write_entry(entries[f]) for f in due if f in entries]
 
 
-def _drop_told_runs(told: CrashTellings) -> None:
+def _drop_told_runs(told: PendingUpdates) -> None:
     for lifetime in told.own_runs.keys() - told.crashes.due.keys():
         del told.own_runs[lifetime]
--- a/src/robinspindle/ordering.py
+++ b/src/robinspindle/ordering.py
@@ -162,7 +162,7 @@
         self, service: str, own_rate: float, pressure: float, now: float
     ) -> None:
         rate = own_rate + sum(
-            view.read_rates.get(service, 0.0) for view in self._peers.views.values()
+            view.prefill_loads.get(service, 0.0) for view in self._peers.views.values()
         )
         history = self._histories.setdefault(service, RoleChangeHistory())
         role_change_s = self._fleet.find_switch_s(service)
--- a/src/robinspindle/passages.py
+++ b/src/robinspindle/passages.py
@@ -7,7 +7,7 @@
 from robinspindle.core import forwarding
 from robinspindle.core.budgets import RepeatBudget
 from robinspindle.core.events import EventSplitter
-from robinspindle.core.fingerprints import NamedRequest
+from robinspindle.core.fingerprints import FingerprintedRequest
 from robinspindle.core.forwarding import AnswerHead, Request, Send, Source
 from robinspindle.core.freshness import Freshness
 from robinspindle.core.lengths import Lengths
@@ -92,7 +92,7 @@
     reply: Reply
     route: Route
     service: str
-    named: NamedRequest
+    named: FingerprintedRequest
     due: float
     aim_at: float
     first_due: float
--- a/src/robinspindle/peerlink.py
+++ b/src/robinspindle/peerlink.py
@@ -12,19 +12,19 @@
 
 import msgspec
 
-from robinspindle.core import digests, relays, sharing
-from robinspindle.core.crashnews import RequestNews
+from robinspindle.core import aggregation, peerdigests, relays
+from robinspindle.core.crashupdates import RequestUpdates
 from robinspindle.core.engines import Engine
-from robinspindle.core.sharing import (
-    MOST_PLACEMENTS,
-    Bundle,
+from robinspindle.core.peerdigests import (
+    MAX_PLACEMENTS,
     Cache,
+    Datagram,
     Digest,
-    Learnt,
     Load,
     Placement,
+    PrefillStatistics,
 )
-from robinspindle.core.soundness import are_facts, find_fault
+from robinspindle.core.peervalidation import are_facts_valid, find_fault
 from robinspindle.core.targets import Target
 from robinspindle.gatewaysettings import HostPort
 from robinspindle.logs import Log
@@ -43,7 +43,7 @@
 """Senders that are not known whose names are kept, to log each of them once."""
 
 encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(Bundle).decode
+decode = msgspec.msgpack.Decoder(Datagram).decode
 
 
 @dataclass(frozen=True)
@@ -52,13 +52,13 @@
 
     loads: list[Load]
     placements: list[Placement]
-    read_rates: dict[str, float] = field(default_factory=dict)
-    switching: list[tuple[str, str]] = field(default_factory=list)
-    learnt: list[Learnt] = field(default_factory=list)
-    silent: list[str] = field(default_factory=list)
-    ends: dict[str, int] = field(default_factory=dict)
-    is_away: bool = False
-    requests: RequestNews | None = None
+    prefill_loads: dict[str, float] = field(default_factory=dict)
+    role_changes: list[tuple[str, str]] = field(default_factory=list)
+    prefill_statistics: list[PrefillStatistics] = field(default_factory=list)
+    silent_targets: list[str] = field(default_factory=list)
+    topic_ends: dict[str, int] = field(default_factory=dict)
+    is_store_unavailable: bool = False
+    requests: RequestUpdates | None = None
     era: int = 0
 
 
@@ -71,7 +71,7 @@
     def note_switching(self, lifetime: str, role: str, now: float) -> None:
         """Take note that a peer ordered an engine to take a role."""
 
-    def note_learnt(self, peer: str, learnt: list[Learnt]) -> None:
+    def note_learnt(self, peer: str, learnt: list[PrefillStatistics]) -> None:
         """Take note of what a peer has learnt."""
 
     def forget_learnt(self, peer: str) -> None:
@@ -91,7 +91,7 @@
     """Stand for who follows the store."""
 
 
-def pass_over_requests(news: RequestNews) -> None:
+def pass_over_requests(news: RequestUpdates) -> None:
     """Stand for the guard."""
 
 
@@ -105,7 +105,7 @@
         clock: Callable[[], float],
         log: Log,
         note_store: Callable[[Digest], None] = pass_over_store_news,
-        note_requests: Callable[[RequestNews], None] = pass_over_requests,
+        note_requests: Callable[[RequestUpdates], None] = pass_over_requests,
         facts: PeerFacts | None = None,
     ):
         self._facts = facts
@@ -162,7 +162,7 @@
                 self._peers.refused += 1
                 self._log("digest not believed", sender=bundle.sender, fault=fault)
                 return
-        if bundle.facts is not None and not are_facts(bundle.facts):
+        if bundle.facts is not None and not are_facts_valid(bundle.facts):
             self._peers.refused += 1
             self._log("facts not believed", sender=bundle.sender)
             return
@@ -183,11 +183,11 @@
             self._log("datagram of a stranger", sender=sender, address=str(addr))
         return False
 
-    def _note_contact(self, bundle: Bundle) -> None:
+    def _note_contact(self, bundle: Datagram) -> None:
         """Take note that a gateway of the own group was heard as its relay."""
         peers, sender = self._peers, bundle.sender
         is_relay = any(d.is_relay and d.sender == sender for d in bundle.digests)
-        of = peers.groups.of
+        of = peers.groups.group_numbers
         if not is_relay or of.get(sender) != of.get(peers.name):
             return
         echo = bundle.echo
@@ -204,7 +204,7 @@
         view = peers.views.get(digest.sender)
         is_new = view is None or view.started != digest.started
         find = self._fleet.find_engine_of
-        if not sharing.take_digest(peers.views, digest, now, find):
+        if not peerdigests.apply_digest(peers.views, digest, now, find):
             return
         self._take_beliefs(digest, now)
         self._leave_to(digest)
@@ -216,15 +216,15 @@
 
     def _take_beliefs(self, digest: Digest, now: float) -> None:
         fleet, author = self._fleet, digest.sender
-        if digest.learnt:
-            fleet.note_learnt(author, digest.learnt)
+        if digest.prefill_statistics:
+            fleet.note_learnt(author, digest.prefill_statistics)
         fleet.note_heard_by_peer(digest.loads, now)
         for cache in digest.caches:
             fleet.note_told_cache(cache)
-        for target in fleet.note_reported_silent(digest.silent, now):
+        for target in fleet.note_reported_silent(digest.silent_targets, now):
             name = target.announced.lifetime
             self._log("target is silent for a peer", target=name, peer=author)
-        for lifetime, role in digest.switching:
+        for lifetime, role in digest.role_changes:
             fleet.note_switching(lifetime, role, now)
         self._note_store(digest)
         if digest.requests is not None:
@@ -246,7 +246,7 @@
             self._passing.append(digest)
         else:
             last = self._told.get(digest.sender)
-            self._told[digest.sender] = digests.join(last, digest)
+            self._told[digest.sender] = aggregation.merge_unsent(last, digest)
         self._peers.changed.set()
 
     async def wait_due(self) -> None:
@@ -264,7 +264,7 @@
         peers = self._peers
         self._began_at = now if self._began_at is None else self._began_at
         # After a freeze nothing that was known before it is passed on.
-        self.forget_silent(now)
+        self.remove_timed_out_peers(now)
         peers.changed.clear()
         note_sent(peers, now)
         self._choose_relay(now)
@@ -279,7 +279,7 @@
 
     def _choose_relay(self, now: float) -> None:
         peers = self._peers
-        ranked = peers.groups.ranked[peers.groups.of[peers.name]]
+        ranked = peers.groups.ranked[peers.groups.group_numbers[peers.name]]
         was_relay = peers.is_relay
         if not relays.choose_relay(peers.choice, ranked, peers.name, now):
             return
@@ -298,15 +298,15 @@
             peers.started,
             peers.number,
             news.loads,
-            news.placements[-MOST_PLACEMENTS:],
-            news.read_rates,
-            news.switching,
-            news.learnt if tells_all else [],
-            news.silent,
+            news.placements[-MAX_PLACEMENTS:],
+            news.prefill_loads,
+            news.role_changes,
+            news.prefill_statistics if tells_all else [],
+            news.silent_targets,
             take_caches(self._fleet, peers.spread_caches),
             None,
-            news.ends,
-            news.is_away,
+            news.topic_ends,
+            news.is_store_unavailable,
             now - self._began_at < NEWCOMER_S,
             requests=news.requests,
             era=news.era,
@@ -317,18 +317,18 @@
         peers, passing = self._peers, self._passing
         self._passing = []
         self._drop_silent_members()
-        total = digests.add_up(own, self._told.values(), tells_all)
+        total = aggregation.aggregate(own, self._told.values(), tells_all)
         for name in self._list_relays(now):
             caches = take_caches(self._fleet, peers.untold_caches.get(name, []))
             self._send(name, [add_caches(total, caches)])
-        for name in peers.groups.ranked[peers.groups.of[peers.name]]:
+        for name in peers.groups.ranked[peers.groups.group_numbers[peers.name]]:
             if name != peers.name:
                 self._tell_member(name, total, passing)
-        self._told = {n: digests.drop_told(d) for n, d in self._told.items()}
+        self._told = {n: aggregation.drop_sent(d) for n, d in self._told.items()}
 
     def _tell_member(self, name: str, total: Digest, passing: list[Digest]) -> None:
         told = self._told.get(name)
-        own_part = total if told is None else digests.leave_out(total, told)
+        own_part = total if told is None else aggregation.subtract(total, told)
         caches = take_caches(self._fleet, self._peers.untold_caches.get(name, []))
         echo = None if told is None else told.number
         self._send(name, [add_caches(own_part, caches), *passing], echo)
@@ -351,10 +351,10 @@
         peers = self._peers
         found = []
         for number, ranked in enumerate(peers.groups.ranked):
-            if number == peers.groups.of[peers.name]:
+            if number == peers.groups.group_numbers[peers.name]:
                 continue
             heard = [n for n in ranked if n in peers.views and peers.views[n].is_relay]
-            attempt = int(now / relays.PATIENCE_S) % len(ranked)
+            attempt = int(now / relays.RELAY_SILENCE_TIMEOUT_S) % len(ranked)
             found += heard or dict.fromkeys((ranked[0], ranked[attempt]))
         return found
 
@@ -363,7 +363,7 @@
         if member is None:
             return
         facts = self._facts.describe(name) if self._facts else None
-        data = encode(Bundle(self._peers.name, told, echo, facts))
+        data = encode(Datagram(self._peers.name, told, echo, facts))
         if len(data) > MOST_DATAGRAM_BYTES and len(told) > 1:
             half = len(told) // 2
             self._send(name, told[:half], echo)
@@ -371,10 +371,10 @@
             return
         self._transport.sendto(data, (member.host, member.port))
 
-    def forget_silent(self, now: float) -> None:
+    def remove_timed_out_peers(self, now: float) -> None:
         """Forget the load of peers that fell silent."""
         find = self._fleet.find_engine_of
-        for name in sharing.forget_silent(self._peers.views, now, find):
+        for name in peerdigests.remove_timed_out_peers(self._peers.views, now, find):
             self._fleet.forget_learnt(name)
             self._peers.untold_caches.pop(name, None)
             self._log("peer silent", peer=name)
@@ -383,5 +383,5 @@
 
     def _forget(self, name: str) -> None:
         if name in self._peers.views:
-            sharing.forget_peer(self._peers.views, name, self._fleet.find_engine_of)
+            peerdigests.forget_peer(self._peers.views, name, self._fleet.find_engine_of)
             self._fleet.forget_learnt(name)
--- a/src/robinspindle/peers.py
+++ b/src/robinspindle/peers.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from robinspindle.core import relays
-from robinspindle.core.relays import Choice, Groups, Member
-from robinspindle.core.sharing import PeerView
+from robinspindle.core.peerdigests import PeerView
+from robinspindle.core.relays import Groups, Member, RelayChoice
 
 MOST_INTERVAL_S = 0.2
 """Interval without news, seconds."""
@@ -52,7 +52,7 @@
     started: float
     members: dict[str, Member] = field(default_factory=dict)
     groups: Groups = Groups()
-    choice: Choice = field(default_factory=Choice)
+    choice: RelayChoice = field(default_factory=RelayChoice)
     views: dict[str, PeerView] = field(default_factory=dict)
     number: int = field(default_factory=lambda: secrets.randbits(NUMBER_BITS))
     sent_times: dict[int, float] = field(default_factory=dict)
@@ -123,7 +123,11 @@
     gave orders until it was back.
     """
     views = peers.views
-    return [n for n in list_heard(peers) if n not in views or not views[n].is_away]
+    return [
+        n
+        for n in list_heard(peers)
+        if n not in views or not views[n].is_store_unavailable
+    ]
 
 
 def find_oldest_s(peers: Peers, now: float) -> float:
--- a/src/robinspindle/readings.py
+++ b/src/robinspindle/readings.py
@@ -9,9 +9,9 @@
     note_prefill_start,
     note_queued_prefill,
 )
+from robinspindle.core.peerdigests import Placement
 from robinspindle.core.prefillmodel import PrefillSample
 from robinspindle.core.reading import Plan
-from robinspindle.core.sharing import Placement
 from robinspindle.core.targets import Target
 from robinspindle.core.urgency import LATE
 from robinspindle.passages import Means, Passage
--- a/src/robinspindle/relay.py
+++ b/src/robinspindle/relay.py
@@ -8,9 +8,10 @@
 from robinspindle.core import budgets, forwarding, health, permits, silence
 from robinspindle.core.answering import note_hold
 from robinspindle.core.engines import Engine, note_placed
-from robinspindle.core.fingerprints import NamedRequest
+from robinspindle.core.fingerprints import FingerprintedRequest
 from robinspindle.core.forwarding import AnswerHead, Request
 from robinspindle.core.patience import Patience
+from robinspindle.core.peerdigests import Placement
 from robinspindle.core.permits import Permit
 from robinspindle.core.reading import Plan
 from robinspindle.core.routes import (
@@ -21,7 +22,6 @@
     find_rank,
     find_route,
 )
-from robinspindle.core.sharing import Placement
 from robinspindle.core.silence import ExpectedResponse
 from robinspindle.core.targets import Target
 from robinspindle.core.urgency import LATE
@@ -157,7 +157,7 @@
             reply,
             route,
             service,
-            NamedRequest(request),
+            FingerprintedRequest(request),
             forwarding.find_due(request, route),
             request.received_at + route.latency_objective_s - CALLER_WAY_S,
             forwarding.find_first_due(request, route),
@@ -318,7 +318,7 @@
                 end = await self._take_answer(passage, answer)
         if end is End.DELIVERED:
             # Not after a failure: a target may answer so without having run it.
-            means.guard.note_good_end(run)
+            means.guard.note_success(run)
         return end
 
     def _note_begun(self, passage: Passage, sending: Sending) -> None:
--- a/src/robinspindle/relaylogs.py
+++ b/src/robinspindle/relaylogs.py
@@ -23,7 +23,7 @@
             request=passage.request.id,
             target=target.announced.lifetime,
             error=error,
-            fingerprint=passage.named.mark.hex(),
+            fingerprint=passage.named.head_hash.hex(),
         )
 
     def log_plan(self, passage: Passage, plan: Plan) -> None:
--- a/src/robinspindle/reporting.py
+++ b/src/robinspindle/reporting.py
@@ -3,8 +3,8 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from robinspindle.core import reports, usage
-from robinspindle.core.reports import Spilled, Stage
+from robinspindle.core import usage, usagereports
+from robinspindle.core.usagereports import Spilled, Stage
 from robinspindle.dutycalls import DutyOutcome
 from robinspindle.dutylog import DutyLog
 from robinspindle.dutyturns import DutyTurns
@@ -130,7 +130,7 @@
     async def _report_due(self, wall_s: float) -> None:
         schedule = self._book.schedule
         counted = usage.list_windows(self._book.ledger)
-        due = reports.list_due(self._reports, schedule, counted, wall_s)
+        due = usagereports.list_due(self._reports, schedule, counted, wall_s)
         place = self._turns.find_place()
         if place is None:
             return
@@ -139,9 +139,11 @@
         due = [window for window in due if window not in self._given_up]
         for window in sorted(due, key=lambda w: (self._tries.get(w, 0), w)):
             # What is decided waits for nobody.
-            is_open = reports.find_stage(self._reports, window) is Stage.OPEN
+            is_open = usagereports.find_stage(self._reports, window) is Stage.OPEN
             is_complete = hears_all or not is_open
-            turn_s = reports.find_turn_s(schedule, place, hears_most, is_complete)
+            turn_s = usagereports.find_report_delay_s(
+                schedule, place, hears_most, is_complete
+            )
             ended_at = (window + 1) * schedule.window_s
             if wall_s - ended_at < turn_s:
                 continue
@@ -153,7 +155,7 @@
         await self._duties.catch_up()
         if not self._duties.may_claim():
             return False
-        stage = reports.find_stage(self._reports, window)
+        stage = usagereports.find_stage(self._reports, window)
         if stage is Stage.ACKNOWLEDGED:
             return True
         if stage is Stage.OPEN:
@@ -170,14 +172,14 @@
     async def _decide(self, window: int) -> None:
         """Fix what a window's report says, in the store, before it is ever sent."""
         for _ in range(MOST_TRIES):
-            counts = usage.add_up(self._book.ledger, window)
+            counts = usage.sum_by_workspace(self._book.ledger, window)
             try:
-                key = reports.make_window_key(window)
+                key = usagereports.make_window_key(window)
                 await self._duties.append(key, window, counts)
             except LogConflictError:
                 # Others may have written counts, or have decided.
                 await self._duties.read()
-                if reports.find_stage(self._reports, window) is not Stage.OPEN:
+                if usagereports.find_stage(self._reports, window) is not Stage.OPEN:
                     return
                 if not self._duties.may_claim():
                     return
@@ -206,7 +208,7 @@
         outcome = await self._send_report(report)
         self._log_sent(report, outcome)
         if outcome is DutyOutcome.TAKEN:
-            reports.note_acknowledged(self._reports, {window})
+            usagereports.note_acknowledged(self._reports, {window})
             self._peers.changed.set()
             self._pause_s = PAUSE_S
             return True
@@ -242,19 +244,19 @@
         for window in list(usage.list_windows(book.ledger)):
             if window in self._spilled or window in self._reports.acknowledged:
                 continue
-            if not reports.must_spill(schedule, window, wall_s):
+            if not usagereports.must_spill(schedule, window, wall_s):
                 continue
-            accounts = usage.describe_account(book.ledger, book.name, window)
+            accounts = usage.list_accounts(book.ledger, book.name, window)
             if not accounts or usage.is_confirmed(book.ledger, book.name, window):
                 continue
-            key = reports.make_spill_key(book.name, window)
+            key = usagereports.make_spill_key(book.name, window)
             self._spilled.add(window)
             await self._duties.write_spilled(key, Spilled(accounts))
             self._log("counts written to the store", window=window)
 
     def _forget_old(self, wall_s: float) -> None:
         schedule = self._book.schedule
-        oldest = reports.find_oldest(schedule, wall_s)
+        oldest = usagereports.find_oldest(schedule, wall_s)
         for window in range(max(self._reports.first_window, oldest - 1), oldest):
             if window not in self._reports.acknowledged:
                 self._note_missed(window, "not taken in time")
--- a/src/robinspindle/storenews.py
+++ b/src/robinspindle/storenews.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from robinspindle.core.sharing import Digest
+from robinspindle.core.peerdigests import Digest
 from robinspindle.following import (
     AWAY_PAUSE_S,
     MOST_PAUSE_S,
@@ -57,14 +57,14 @@
 
         Ends of another era say nothing of ours; one call tells whether a new one began.
         """
-        peer, is_away = digest.sender, digest.is_away
+        peer, is_away = digest.sender, digest.is_store_unavailable
         era = self._find_era()
         if digest.era > max(era, self._told_era):
             self._told_era = digest.era
             note_told_away(self._checked)
         elif digest.era == era:
             for follower in self._followers:
-                note_told_end(follower, digest.ends.get(follower.topic, -1))
+                note_told_end(follower, digest.topic_ends.get(follower.topic, -1))
         was_away = peer in self._away_for
         if is_away and not was_away:
             self._away_for.add(peer)
--- a/src/robinspindle/teaching.py
+++ b/src/robinspindle/teaching.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from robinspindle.core.sharing import Cache, Digest, is_teacher
+from robinspindle.core.peerdigests import Cache, Digest, is_cache_sender
 from robinspindle.peers import Peers
 
 TOLD_PARTS = 1000
@@ -34,7 +34,7 @@
     if not peers.teaches or not digest.is_new or is_told:
         return
     others = [name for name, view in peers.views.items() if view.is_relay]
-    if digest.is_relay and not is_teacher(peers.name, others, newcomer):
+    if digest.is_relay and not is_cache_sender(peers.name, others, newcomer):
         return
     peers.taught[newcomer] = digest.started
     peers.untold_caches[newcomer] = caches.list_known_caches()
--- a/src/robinspindle/usagebook.py
+++ b/src/robinspindle/usagebook.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from robinspindle.core import timeofday, usage
-from robinspindle.core.reports import Schedule
 from robinspindle.core.usage import Account, Ledger
+from robinspindle.core.usagereports import Schedule
 from robinspindle.logs import Log
 
 MOST_CLOCK_AGE_S = 2.0
@@ -35,7 +35,7 @@
 
     Attributes:
         name: This gateway.
-        life: When it started, Unix milliseconds.
+        incarnation: When it started, Unix milliseconds.
         clock: Tells the present time, steady seconds.
         log: Takes log lines.
         wall: Tells the time of day, Unix seconds.
@@ -46,7 +46,7 @@
     """
 
     name: str
-    life: int
+    incarnation: int
     clock: Callable[[], float]
     log: Log
     wall: Callable[[], float] = time.time
@@ -68,7 +68,9 @@
         if self.schedule is None:
             return
         window = usage.find_window(at + self.beyond, self.schedule.window_s)
-        usage.count_begun(self.ledger, self.name, self.life, window, workspace)
+        usage.count_started_request(
+            self.ledger, self.name, self.incarnation, window, workspace
+        )
 
     def read_wall(self) -> float:
         """Read the time of day that gateways agree on, Unix seconds."""
@@ -109,14 +111,14 @@
     def _read_own(self) -> float:
         return self.wall() - self.clock()
 
-    def list_untold(
+    def list_unconfirmed(
         self, peer: str, started: float, number: int, left_out: set[str]
     ) -> list[Account]:
         """List the counts that a peer has not confirmed."""
         if self.schedule is None:
             return []
-        return usage.list_untold(self.ledger, peer, started, number, left_out)
+        return usage.list_unconfirmed(self.ledger, peer, started, number, left_out)
 
     def take(self, accounts: Iterable[Account]) -> None:
         """Take in what a peer tells."""
-        usage.take_accounts(self.ledger, accounts)
+        usage.merge_accounts(self.ledger, accounts)
--- a/tests/core/test_digests.py
+++ b/tests/core/test_aggregation.py
@@ -1,9 +1,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from robinspindle.core.digests import add_up, drop_told, join, leave_out
+from robinspindle.core.aggregation import aggregate, drop_sent, merge_unsent, subtract
+from robinspindle.core.peerdigests import Digest, Load, Placement, PrefillStatistics
 from robinspindle.core.prefillmodel import FitSums
-from robinspindle.core.sharing import Digest, Learnt, Load, Placement
 
 counts = st.integers(0, 50)
 loads = st.lists(
@@ -37,8 +37,8 @@
 @given(loads, loads, loads)
 def test_a_sum_without_one_is_the_sum_of_the_others(first, second, third):
     own, one, other = make("r", first), make("a", second), make("b", third)
-    total = add_up(own, [one, other], tells_all=True)
-    assert count(leave_out(total, one)) == count(add_up(own, [other], True))
+    total = aggregate(own, [one, other], tells_all=True)
+    assert count(subtract(total, one)) == count(aggregate(own, [other], True))
     assert total.is_relay
     assert total.members == ["r", "a", "b"]
 
@@ -46,37 +46,45 @@
 def test_nobody_hears_its_own_placements_rates_and_paces():
     sums = FitSums(2.0, [1.0] * 6, [1.0] * 3)
     mine, theirs = Placement("e1", [("aa", 5)], 10), Placement("e2", [("bb", 5)], 10)
-    own = make("r", read_rates={"lm": 0.5}, learnt=[Learnt("lm", True, sums)])
+    own = make(
+        "r",
+        prefill_loads={"lm": 0.5},
+        prefill_statistics=[PrefillStatistics("lm", True, sums)],
+    )
     one = make(
         "a",
         placements=[mine],
-        read_rates={"lm": 0.25},
-        learnt=[Learnt("lm", True, sums)],
+        prefill_loads={"lm": 0.25},
+        prefill_statistics=[PrefillStatistics("lm", True, sums)],
     )
     other = make("b", placements=[theirs])
-    total = add_up(own, [one, other], tells_all=True)
+    total = aggregate(own, [one, other], tells_all=True)
     assert total.placements == [mine, theirs]
-    assert total.read_rates == {"lm": 0.75}
-    assert total.learnt[0].sums.weight == 4.0
-    left = leave_out(total, one)
+    assert total.prefill_loads == {"lm": 0.75}
+    assert total.prefill_statistics[0].sums.weight == 4.0
+    left = subtract(total, one)
     assert left.placements == [theirs]
-    assert left.read_rates == {"lm": 0.5}
-    assert left.learnt[0].sums == sums
+    assert left.prefill_loads == {"lm": 0.5}
+    assert left.prefill_statistics[0].sums == sums
 
 
 def test_what_was_not_passed_on_yet_is_kept_and_told_once():
-    first = make("a", [Load("e1", 1, [0] * 6)], [Placement("e1", [])], silent=["e9"])
-    second = make("a", [], [Placement("e2", [])], silent=["e8"])
-    joined = join(join(None, first), second)
+    first = make(
+        "a", [Load("e1", 1, [0] * 6)], [Placement("e1", [])], silent_targets=["e9"]
+    )
+    second = make("a", [], [Placement("e2", [])], silent_targets=["e8"])
+    joined = merge_unsent(merge_unsent(None, first), second)
     assert joined.loads == []
     assert [p.lifetime for p in joined.placements] == ["e1", "e2"]
-    assert joined.silent == ["e8", "e9"]
-    assert drop_told(joined).placements == []
+    assert joined.silent_targets == ["e8", "e9"]
+    assert drop_sent(joined).placements == []
     restarted = Digest("a", 2.0, 1, [], [])
-    assert join(joined, restarted) is restarted
+    assert merge_unsent(joined, restarted) is restarted
 
 
 def test_the_furthest_end_of_each_topic_is_told():
-    total = add_up(make("r", ends={"x": 5}), [make("a", ends={"x": 7, "y": 1})], False)
-    assert total.ends == {"x": 7, "y": 1}
+    total = aggregate(
+        make("r", topic_ends={"x": 5}), [make("a", topic_ends={"x": 7, "y": 1})], False
+    )
+    assert total.topic_ends == {"x": 7, "y": 1}
     assert total.members is None
--- a/tests/core/test_freshness.py
+++ b/tests/core/test_freshness.py
@@ -7,12 +7,12 @@
 
 from robinspindle.core.freshness import (
     Freshness,
-    counts_on_peers,
     may_deny,
     may_serve,
     must_renew,
-    note_read,
-    note_told,
+    note_peer_version,
+    note_store_read,
+    relies_on_peers,
 )
 
 LIMIT_S = 5.0
@@ -28,42 +28,42 @@
 
 def test_a_read_counts_from_when_it_was_sent():
     freshness = make()
-    note_read(freshness, 10.0)
+    note_store_read(freshness, 10.0)
     assert may_serve(freshness, 14.0)
     assert not may_serve(freshness, 15.0)
 
 
 def test_an_answer_that_lay_through_a_freeze_renews_nothing():
     freshness = make(newest_at=10.0)
-    note_read(freshness, 10.1)
+    note_store_read(freshness, 10.1)
     assert not may_serve(freshness, 20.0)
 
 
 def test_a_late_answer_does_not_make_it_older():
     freshness = make(newest_at=10.0)
-    note_read(freshness, 8.0)
+    note_store_read(freshness, 8.0)
     assert freshness.newest_at == 10.0
 
 
 def test_a_peer_renews_only_what_both_hold():
     freshness = make(version=4, newest_at=1.0)
-    note_told(freshness, 3, as_of=9.0, now=9.0)
+    note_peer_version(freshness, 3, as_of=9.0, now=9.0)
     assert freshness.newest_at == 1.0
-    note_told(freshness, 4, as_of=9.0, now=9.1)
+    note_peer_version(freshness, 4, as_of=9.0, now=9.1)
     assert freshness.newest_at == 9.0
-    assert counts_on_peers(freshness, 9.5)
-    assert not counts_on_peers(freshness, 12.0)
+    assert relies_on_peers(freshness, 9.5)
+    assert not relies_on_peers(freshness, 12.0)
 
 
 def test_a_peer_that_is_ahead_stops_renewal_and_denial():
     """A store that returned from a copy still holds the version before."""
     freshness = make(version=4, newest_at=10.0)
-    note_told(freshness, 5, as_of=10.5, now=10.5)
-    note_read(freshness, 11.0)
+    note_peer_version(freshness, 5, as_of=10.5, now=10.5)
+    note_store_read(freshness, 11.0)
     assert freshness.newest_at == 10.0
     assert not may_deny(freshness, 11.0)
     freshness.version = 5
-    note_read(freshness, 11.5)
+    note_store_read(freshness, 11.5)
     assert may_deny(freshness, 11.6)
 
 
@@ -83,7 +83,7 @@
     for freshness in (Freshness(None, 3.0, True, 1), Freshness(LIMIT_S, 3.0, False)):
         assert may_serve(freshness, 1e9)
         assert not must_renew(freshness, 1e9)
-        assert counts_on_peers(freshness, 1e9)
+        assert relies_on_peers(freshness, 1e9)
 
 
 moves = st.lists(
@@ -131,7 +131,7 @@
 
     def arrive(at):
         freshness.version = max(freshness.version, version)
-        note_read(freshness, sent_at)
+        note_store_read(freshness, sent_at)
 
     return sent_at + delay_s, arrive
 
@@ -142,6 +142,6 @@
     age_s, version = spoke_at - sender.newest_at, sender.version
 
     def arrive(at):
-        note_told(receiver, version, echoed_at - age_s, at)
+        note_peer_version(receiver, version, echoed_at - age_s, at)
 
     return spoke_at + delay_s, arrive
--- a/tests/core/test_sharing.py
+++ b/tests/core/test_peerdigests.py
@@ -1,12 +1,12 @@
 from robinspindle.core.engines import PrefillStart, make_engine
-from robinspindle.core.sharing import (
-    SILENCE_S,
+from robinspindle.core.peerdigests import (
+    PEER_TIMEOUT_S,
     Digest,
     Load,
     Placement,
-    forget_silent,
-    is_teacher,
-    take_digest,
+    apply_digest,
+    is_cache_sender,
+    remove_timed_out_peers,
 )
 
 WORK = [0, 40, 30, 0, 0, 0]
@@ -19,8 +19,10 @@
 def test_the_newest_word_of_a_peer_counts():
     engines = {"e1": make_engine(True, 1000)}
     peers = {}
-    assert take_digest(peers, make(2, loads=[Load("e1", 1, WORK, 1)]), 0.0, engines.get)
-    assert not take_digest(
+    assert apply_digest(
+        peers, make(2, loads=[Load("e1", 1, WORK, 1)]), 0.0, engines.get
+    )
+    assert not apply_digest(
         peers, make(1, loads=[Load("e1", 9, [0, 900, 0, 0, 0, 0])]), 0.0, engines.get
     )
     engine = engines["e1"]
@@ -29,22 +31,22 @@
         1,
         1,
     )
-    assert take_digest(peers, make(3), 0.0, engines.get)
+    assert apply_digest(peers, make(3), 0.0, engines.get)
     assert (engine.backlog_s, engine.others_in_flight, engine.long_answers) == (0, 0, 0)
 
 
 def test_a_restarted_peer_begins_anew():
     engines = {"e1": make_engine(True, 1000)}
     peers = {}
-    take_digest(peers, make(900, loads=[Load("e1", 1, WORK)]), 0.0, engines.get)
-    assert take_digest(peers, make(1, started=2.0), 0.1, engines.get)
+    apply_digest(peers, make(900, loads=[Load("e1", 1, WORK)]), 0.0, engines.get)
+    assert apply_digest(peers, make(1, started=2.0), 0.1, engines.get)
     assert engines["e1"].backlog_s == 0
 
 
 def test_placements_are_believed_and_unknown_targets_passed_over():
     engines = {"e1": make_engine(False, 1000)}
     placements = [Placement("e1", [("a", 100)], 60, 2), Placement("e9", [("a", 100)])]
-    take_digest({}, make(placements=placements), 0.0, engines.get)
+    apply_digest({}, make(placements=placements), 0.0, engines.get)
     assert engines["e1"].cached == {"a": 100}
     assert list(engines["e1"].recent_prefills) == [PrefillStart(0.0, 0.06, 2)]
 
@@ -52,9 +54,9 @@
 def test_a_silent_peer_has_nothing_under_way():
     engines = {"e1": make_engine(True, 1000)}
     peers = {}
-    take_digest(peers, make(loads=[Load("e1", 1, WORK)]), 0.0, engines.get)
-    assert forget_silent(peers, SILENCE_S, engines.get) == []
-    assert forget_silent(peers, SILENCE_S + 0.1, engines.get) == ["g2"]
+    apply_digest(peers, make(loads=[Load("e1", 1, WORK)]), 0.0, engines.get)
+    assert remove_timed_out_peers(peers, PEER_TIMEOUT_S, engines.get) == []
+    assert remove_timed_out_peers(peers, PEER_TIMEOUT_S + 0.1, engines.get) == ["g2"]
     assert engines["e1"].backlog_s == 0
 
 
@@ -63,6 +65,6 @@
     teachers = [
         name
         for name in names
-        if is_teacher(name, [other for other in names if other != name], "g1")
+        if is_cache_sender(name, [other for other in names if other != name], "g1")
     ]
     assert teachers == ["g2", "g3"]
--- a/tests/core/test_soundness.py
+++ b/tests/core/test_peervalidation.py
@@ -2,9 +2,15 @@
 
 import pytest
 
+from robinspindle.core.peerdigests import (
+    Cache,
+    Digest,
+    Load,
+    Placement,
+    PrefillStatistics,
+)
+from robinspindle.core.peervalidation import find_fault
 from robinspindle.core.prefillmodel import FitSums
-from robinspindle.core.sharing import Cache, Digest, Learnt, Load, Placement
-from robinspindle.core.soundness import find_fault
 
 GOOD = Digest(
     "g2",
@@ -13,7 +19,9 @@
     [Load("e1", 1, [0] * 6)],
     [Placement("e1", [("aa", 5)], 10)],
     {"lm": 0.5},
-    learnt=[Learnt("lm", True, FitSums(1.0, [1.0] * 6, [1.0] * 3))],
+    prefill_statistics=[
+        PrefillStatistics("lm", True, FitSums(1.0, [1.0] * 6, [1.0] * 3))
+    ],
     caches=[Cache("e1", [("aa", 5)])],
 )
 
@@ -41,9 +49,13 @@
         {"loads": [Load("e1", 1, [0, 1 << 40, 0, 0, 0, 0])]},
         {"placements": [Placement("e1", [("aa", -5)])]},
         {"placements": [Placement("e1", [], 0, 6)]},
-        {"read_rates": {"lm": math.inf}},
-        {"read_rates": {"lm": -1.0}},
-        {"learnt": [Learnt("lm", True, FitSums(math.nan, [1.0] * 6, [1.0] * 3))]},
+        {"prefill_loads": {"lm": math.inf}},
+        {"prefill_loads": {"lm": -1.0}},
+        {
+            "prefill_statistics": [
+                PrefillStatistics("lm", True, FitSums(math.nan, [1.0] * 6, [1.0] * 3))
+            ]
+        },
         {"caches": [Cache("e1", [("aa", -1)])]},
     ],
 )
--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -4,16 +4,16 @@
 import pytest
 
 from robinspindle.core import quarantine
-from robinspindle.core.crashnews import (
-    CrashNews,
-    QuarantineNews,
-    RequestNews,
-    is_believable,
-    join_news,
+from robinspindle.core.crashupdates import (
+    CrashUpdate,
+    QuarantineUpdate,
+    RequestUpdates,
+    are_updates_valid,
+    merge_updates,
     read_entry,
     write_entry,
 )
-from robinspindle.core.fingerprints import FINGERPRINT_BYTES, Fingerprint, get_mark
+from robinspindle.core.fingerprints import FINGERPRINT_BYTES, Fingerprint, get_head_hash
 from robinspindle.core.quarantine import Entry, Quarantine, Standing
 from robinspindle.exceptions import BadDocumentError
 
@@ -62,32 +62,32 @@
     for order in ([ENTRY, released], [released, ENTRY]):
         known = Quarantine()
         for entry in order:
-            quarantine.take_entry(known, entry)
-        assert quarantine.find_turned_away(known, NAME) is None
-        assert not known.marks
+            quarantine.merge_entry(known, entry)
+        assert quarantine.find_quarantined(known, NAME) is None
+        assert not known.head_hashes
 
 
 def test_what_is_turned_away_is_found_by_its_mark():
     known = Quarantine()
-    assert quarantine.take_entry(known, ENTRY)
-    assert not quarantine.take_entry(known, ENTRY)
-    assert known.marks == {get_mark(NAME)}
-    assert quarantine.find_turned_away(known, NAME) == ENTRY
+    assert quarantine.merge_entry(known, ENTRY)
+    assert not quarantine.merge_entry(known, ENTRY)
+    assert known.head_hashes == {get_head_hash(NAME)}
+    assert quarantine.find_quarantined(known, NAME) == ENTRY
 
 
 def test_a_record_that_the_store_lost_does_not_release():
     known = Quarantine()
-    quarantine.take_entry(known, ENTRY)
+    quarantine.merge_entry(known, ENTRY)
     quarantine.note_stored(known, ENTRY)
     assert quarantine.list_unstored(known) == []
     quarantine.note_not_stored(known, NAME)
-    assert quarantine.find_turned_away(known, NAME) == ENTRY
+    assert quarantine.find_quarantined(known, NAME) == ENTRY
     assert quarantine.list_unstored(known) == [ENTRY]
 
 
 def test_an_older_record_in_the_store_is_written_anew():
     known = Quarantine()
-    quarantine.take_entry(known, quarantine.release(ENTRY, 2000))
+    quarantine.merge_entry(known, quarantine.release(ENTRY, 2000))
     quarantine.note_stored(known, ENTRY)
     assert len(quarantine.list_unstored(known)) == 1
 
@@ -100,39 +100,41 @@
         found.append((at_ms - entry.at_ms) / 1000)
         entry = quarantine.begin_trial(entry, at_ms)
     assert found == [300.0, 600.0, 1200.0]
-    assert quarantine.find_retry_s(entry, entry.at_ms) == quarantine.LONGEST_S
+    assert quarantine.find_retry_s(entry, entry.at_ms) == quarantine.MAX_RETRY_S
 
 
 def test_the_oldest_fall_out():
     known = Quarantine()
-    for number in range(quarantine.MOST_KEPT + 10):
+    for number in range(quarantine.MAX_ENTRIES + 10):
         fingerprint = Fingerprint(number.to_bytes(FINGERPRINT_BYTES, "big"))
         entry = Entry(fingerprint, Standing.QUARANTINED, number)
-        quarantine.take_entry(known, entry)
-    assert len(known.entries) == quarantine.MOST_KEPT
+        quarantine.merge_entry(known, entry)
+    assert len(known.entries) == quarantine.MAX_ENTRIES
     assert min(entry.at_ms for entry in known.entries.values()) == 10
 
 
 BAD_NEWS = [
-    RequestNews(crashes=[CrashNews("i 1", "lm", 5, [])]),
-    RequestNews(crashes=[CrashNews("i1", "lm", -5, [])]),
-    RequestNews(crashes=[CrashNews("i1", "lm", 5, [(b"short", 5)])]),
-    RequestNews(crashes=[CrashNews("i1", "lm", 5, [(NAME, -5)])]),
-    RequestNews(cleared=[b"short"]),
-    RequestNews(quarantine=[QuarantineNews(NAME, "hanged", 5, [], "", 0)]),
-    RequestNews(quarantine=[QuarantineNews(NAME, "quarantined", 5, [""], "", 0)]),
+    RequestUpdates(crashes=[CrashUpdate("i 1", "lm", 5, [])]),
+    RequestUpdates(crashes=[CrashUpdate("i1", "lm", -5, [])]),
+    RequestUpdates(crashes=[CrashUpdate("i1", "lm", 5, [(b"short", 5)])]),
+    RequestUpdates(crashes=[CrashUpdate("i1", "lm", 5, [(NAME, -5)])]),
+    RequestUpdates(cleared=[b"short"]),
+    RequestUpdates(quarantine=[QuarantineUpdate(NAME, "hanged", 5, [], "", 0)]),
+    RequestUpdates(quarantine=[QuarantineUpdate(NAME, "quarantined", 5, [""], "", 0)]),
 ]
 
 
 @pytest.mark.parametrize("news", BAD_NEWS)
 def test_news_that_cannot_be_true_are_not_believed(news):
-    assert is_believable(RequestNews())
-    assert not is_believable(news)
+    assert are_updates_valid(RequestUpdates())
+    assert not are_updates_valid(news)
 
 
 def test_news_of_many_crashes_stay_far_below_a_datagram():
     runs = [(NAME, 1000)] * 128
-    news = RequestNews()
+    news = RequestUpdates()
     for number in range(30):
-        news = join_news(news, RequestNews([CrashNews(f"i{number}", "lm", 5, runs)]))
+        news = merge_updates(
+            news, RequestUpdates([CrashUpdate(f"i{number}", "lm", 5, runs)])
+        )
     assert len(msgspec.msgpack.encode(news)) < 20_000
--- a/tests/core/test_relays.py
+++ b/tests/core/test_relays.py
@@ -4,15 +4,15 @@
 from hypothesis import strategies as st
 
 from robinspindle.core.relays import (
-    DEAF_PATIENCE_S,
     GROUP_MEMBERS,
-    PATIENCE_S,
-    REST_S,
-    Choice,
+    RELAY_ECHO_TIMEOUT_S,
+    RELAY_RETRY_DELAY_S,
+    RELAY_SILENCE_TIMEOUT_S,
     Member,
+    RelayChoice,
     choose_relay,
-    decode_introduction,
-    encode_introduction,
+    decode_member,
+    encode_member,
     find_interval,
     make_groups,
     note_heard,
@@ -40,10 +40,10 @@
     members = make_members(count, zones)
     groups = make_groups(members)
     zone_of = {member.name: member.zone for member in members}
-    assert sorted(groups.of) == sorted(zone_of)
+    assert sorted(groups.group_numbers) == sorted(zone_of)
     for number, names in enumerate(groups.ranked):
         assert 1 <= len(names) <= GROUP_MEMBERS
-        assert {groups.of[name] for name in names} == {number}
+        assert {groups.group_numbers[name] for name in names} == {number}
         assert len({zone_of[name] for name in names}) == 1
 
 
@@ -70,26 +70,26 @@
 
 def test_an_introduction_is_read_as_it_was_written():
     member = Member("g1", "10.1.0.3", 7660, "zone-a", 2.15)
-    assert decode_introduction("g1", encode_introduction(member)) == member
-    assert decode_introduction("g1", b"10.1.0.3:7660").capacity == 1.0
+    assert decode_member("g1", encode_member(member)) == member
+    assert decode_member("g1", b"10.1.0.3:7660").capacity == 1.0
     for bad in (b"", b"x", b"10.1.0.3:99999 a 1", b"10.1.0.3:1 a much", b"\xff:1x"):
-        assert decode_introduction("g1", bad) is None
+        assert decode_member("g1", bad) is None
 
 
 def test_the_first_in_order_is_the_relay_and_who_comes_to_itself_is_one():
-    choice = Choice()
+    choice = RelayChoice()
     assert choose_relay(choice, RANKED, "g3", 0.0)
     assert choice.relay == "g1"
     assert not choose_relay(choice, RANKED, "g3", 0.1)
-    own = Choice()
+    own = RelayChoice()
     choose_relay(own, RANKED, "g1", 0.0)
     assert own.relay == "g1"
 
 
 def test_a_silent_relay_is_given_up_for_the_next_and_used_again_when_it_is_back():
-    choice = Choice()
+    choice = RelayChoice()
     choose_relay(choice, RANKED, "g3", 0.0)
-    assert choose_relay(choice, RANKED, "g3", PATIENCE_S + 0.01)
+    assert choose_relay(choice, RANKED, "g3", RELAY_SILENCE_TIMEOUT_S + 0.01)
     assert choice.relay == "g2"
     note_heard(choice, "g2", 1.0, has_heard_us=True)
     # The one that died does not come back by itself.
@@ -97,26 +97,26 @@
     note_heard(choice, "g1", 2.0, has_heard_us=False)
     note_heard(choice, "g2", 2.0, has_heard_us=True)
     assert not choose_relay(choice, RANKED, "g3", 2.0)
-    at = PATIENCE_S + REST_S + 0.1
+    at = RELAY_SILENCE_TIMEOUT_S + RELAY_RETRY_DELAY_S + 0.1
     note_heard(choice, "g2", at, has_heard_us=True)
     assert choose_relay(choice, RANKED, "g3", at)
     assert choice.relay == "g1"
 
 
 def test_a_relay_that_is_heard_but_does_not_hear_us_is_given_up():
-    choice = Choice()
+    choice = RelayChoice()
     choose_relay(choice, RANKED, "g3", 0.0)
     now = 0.0
     while choice.relay == "g1" and now < 5.0:
         now += 0.1
         note_heard(choice, "g1", now, has_heard_us=False)
         choose_relay(choice, RANKED, "g3", now)
-    assert DEAF_PATIENCE_S < now < DEAF_PATIENCE_S + 0.2
+    assert RELAY_ECHO_TIMEOUT_S < now < RELAY_ECHO_TIMEOUT_S + 0.2
     assert choice.relay == "g2"
 
 
 def test_where_all_others_fail_a_gateway_speaks_for_itself():
-    choice = Choice()
+    choice = RelayChoice()
     for step in range(30):
         choose_relay(choice, RANKED, "g3", step * 0.1)
     assert choice.relay == "g3"
--- a/tests/fuzz/test_duties.py
+++ b/tests/fuzz/test_duties.py
@@ -3,7 +3,7 @@
 from fuzz.dutymutants import DUTY_MUTANTS
 from fuzz.dutyoracle import play_duties
 from fuzz.mutants import apply_mutant
-from robinspindle.core import reports
+from robinspindle.core import usagereports
 
 
 def play_any(seed):
@@ -41,7 +41,7 @@
 
 
 def test_the_oracle_notices_a_window_that_waits_for_nobody(monkeypatch):
-    monkeypatch.setattr(reports, "INCOMPLETE_SHARE", 0.0)
+    monkeypatch.setattr(usagereports, "INCOMPLETE_SHARE", 0.0)
     for seed in (2, 5, 9):
         assert play_duties(seed, kinds=("whole cut",), overlap=False)
 
--- a/tests/platform/test_cachelists.py
+++ b/tests/platform/test_cachelists.py
@@ -6,8 +6,8 @@
 from robinspindle.cachelists import CacheLists
 from robinspindle.core.engines import note_placed
 from robinspindle.core.forwarding import Part
+from robinspindle.core.peerdigests import Cache, Datagram, Digest, PeerView
 from robinspindle.core.relays import Member
-from robinspindle.core.sharing import Bundle, Cache, Digest, PeerView
 from robinspindle.core.targets import Announcement, Directory, note_announced
 from robinspindle.fleet import Fleet
 from robinspindle.peerlink import encode
@@ -94,7 +94,7 @@
             digest = Digest("gateway-2", 1.0, 1, [], [], caches=caches)
             sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sender.sendto(
-                encode(Bundle("gateway-2", [digest])), ("127.0.0.1", d.inner_port)
+                encode(Datagram("gateway-2", [digest])), ("127.0.0.1", d.inner_port)
             )
             sender.close()
             await until(lambda: d.gateway.peers.views)
--- a/tests/platform/test_crashes.py
+++ b/tests/platform/test_crashes.py
@@ -33,7 +33,10 @@
 def tell_crash(d, lifetime):
     """Have a peer tell of a crash under what the gateway suspects most."""
     guard = d.gateway.guard
-    suspect = max(guard.evidence.met, key=lambda f: len(guard.evidence.met[f]))
+    suspect = max(
+        guard.evidence.crashes_by_request,
+        key=lambda f: len(guard.evidence.crashes_by_request[f]),
+    )
     guard.take_crash(Crash(lifetime, "push", guard.clock(), {suspect: 0.01}))
 
 
@@ -86,7 +89,7 @@
             failing = await d.add("push2")
             failing.behaviours.append("error")
             assert (await call(d, 2, "/once/x")).status == 500
-            assert d.gateway.guard.evidence.met
+            assert d.gateway.guard.evidence.crashes_by_request
 
     run(play())
 
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from robinspindle import stopping
-from robinspindle.core.sharing import Bundle, Digest, Load, Placement
+from robinspindle.core.peerdigests import Datagram, Digest, Load, Placement
 from robinspindle.exceptions import Finding, InvalidDocumentError
 from robinspindle.peerlink import encode
 from standins.replica import Replica
@@ -186,7 +186,7 @@
             )
             sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sender.sendto(b"no datagram of ours", ("127.0.0.1", d.inner_port))
-            data = encode(Bundle("gateway-2", [digest]))
+            data = encode(Datagram("gateway-2", [digest]))
             sender.sendto(data, ("127.0.0.1", d.inner_port))
             sender.close()
             await until(lambda: engine.backlog_s > 0)
--- a/tests/platform/test_ordering.py
+++ b/tests/platform/test_ordering.py
@@ -3,9 +3,9 @@
 import json
 import math
 
+from robinspindle.core.peerdigests import PeerView
 from robinspindle.core.rebalancing import PrefillDemand
 from robinspindle.core.relays import Member
-from robinspindle.core.sharing import PeerView
 from robinspindle.peers import Peers, list_deciders
 from tests.platform.deployment import deploy, run, until
 
@@ -78,7 +78,7 @@
 def test_the_next_gateway_decides_where_the_first_can_not_reach_the_store(tmp_path):
     async def play():
         async with deploy(tmp_path) as d:
-            first = PeerView(heard_at=math.inf, is_away=True)
+            first = PeerView(heard_at=math.inf, is_store_unavailable=True)
             d.gateway.peers.views["gateway-0"] = first
             await d.add("p1", "lm", "prefill")
             hosts = [await d.add(f"d{n}", "lm", "decode") for n in (1, 2, 3)]
@@ -92,5 +92,5 @@
     peers = Peers(Member("b", "127.0.0.1", 1), 0.0)
     peers.views["a"] = PeerView(members=["c"])
     assert list_deciders(peers) == ["a", "c"]
-    peers.views["a"].is_away = True
+    peers.views["a"].is_store_unavailable = True
     assert list_deciders(peers) == ["c"]
--- a/tests/platform/test_quarantine.py
+++ b/tests/platform/test_quarantine.py
@@ -7,7 +7,7 @@
 import pytest
 
 from robinspindle.core import quarantine
-from robinspindle.core.fingerprints import NamedRequest
+from robinspindle.core.fingerprints import FingerprintedRequest
 from robinspindle.core.forwarding import Request
 from robinspindle.exceptions import NotQuarantinedError
 from robinspindle.platform.store import GATEWAYS_TOPIC
@@ -19,7 +19,7 @@
 
 def make_entry(body=BODY):
     request = Request("r", "POST", b"/safe/x", HOST, (), body, None, 0.0)
-    fingerprint = NamedRequest(request).fingerprint
+    fingerprint = FingerprintedRequest(request).fingerprint
     lives, now_ms = {"i1", "i2", "i3"}, time.time_ns() // 1_000_000
     return quarantine.make_entry(fingerprint, lives, f"{HOST}/safe/x", now_ms)
 
@@ -72,7 +72,7 @@
             assert digits in format_entries([entry])
             await release_entry(store, GATEWAYS_TOPIC, digits, 7)
             known = d.gateway.guard.quarantine
-            await until(lambda: not quarantine.list_turned_away(known))
+            await until(lambda: not quarantine.list_quarantined(known))
             assert (await d.call("/safe/x", body=BODY)).status == 200
             assert await read_entries(store, GATEWAYS_TOPIC) == []
             with pytest.raises(NotQuarantinedError):
--- a/tests/platform/test_store_eras.py
+++ b/tests/platform/test_store_eras.py
@@ -10,7 +10,7 @@
 
 from robinspindle.core import quarantine
 from robinspindle.core.authority import may_claim, may_use
-from robinspindle.core.sharing import PeerView
+from robinspindle.core.peerdigests import PeerView
 from robinspindle.exceptions import EraChangedError, LogUnavailableError
 from robinspindle.gatewaysettings import HostPort
 from robinspindle.platform.store import (
--- a/tests/platform/test_usage.py
+++ b/tests/platform/test_usage.py
@@ -30,7 +30,7 @@
             await api.server.stop()
 
 
-def add_up(api):
+def sum_by_workspace(api):
     """Add up all reports by workspace; a repeat that is exact counts once."""
     values = {}
     for taken in api.reports:
@@ -50,7 +50,7 @@
             await d.call("/safe/x", **bearer(OTHER))
             await d.call("/safe/x", **bearer("nobody"))
             await d.call("/free/x")
-            await until(lambda: add_up(api) == {"red": 3, "blue": 1})
+            await until(lambda: sum_by_workspace(api) == {"red": 3, "blue": 1})
 
     run(play())
 
@@ -66,9 +66,9 @@
             replica.behaviours.append("error")
             d.replicas["i2"].behaviours.append("error")
             await d.call("/safe/x", **bearer(OTHER))
-            await until(lambda: add_up(api) == {"blue": 1})
+            await until(lambda: sum_by_workspace(api) == {"blue": 1})
             await asyncio.sleep(2 * WINDOW_S)
-            assert add_up(api) == {"blue": 1}
+            assert sum_by_workspace(api) == {"blue": 1}
 
     run(play())
 
@@ -77,12 +77,12 @@
     async def play():
         async with report(tmp_path, trouble="lost") as (d, api):
             await d.call("/safe/x", **bearer(KEY))
-            await until(lambda: add_up(api) == {"red": 1})
+            await until(lambda: sum_by_workspace(api) == {"red": 1})
             api.trouble = "busy"
             await d.call("/safe/x", **bearer(KEY))
             await asyncio.sleep(0.7)
             api.trouble = ""
-            await until(lambda: add_up(api) == {"red": 2})
+            await until(lambda: sum_by_workspace(api) == {"red": 2})
 
     run(play())
 
@@ -99,9 +99,9 @@
             before = len(api.reports)
             await asyncio.sleep(1.0)
             assert len(api.reports) <= before + 1
-            assert not add_up(api)
+            assert not sum_by_workspace(api)
             d.store.trouble = ""
-            await until(lambda: add_up(api) == {"red": 1})
+            await until(lambda: sum_by_workspace(api) == {"red": 1})
 
     run(play())
 
--- a/tests/test_dutyturns.py
+++ b/tests/test_dutyturns.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from robinspindle.core import reports
+from robinspindle.core import usagereports
+from robinspindle.core.peerdigests import PeerView
 from robinspindle.core.presence import REMEMBERED_S
 from robinspindle.core.relays import Member
-from robinspindle.core.reports import Schedule
-from robinspindle.core.sharing import PeerView
+from robinspindle.core.usagereports import Schedule
 from robinspindle.dutyturns import BACK_S, DutyTurns
 from robinspindle.peers import Peers, note_member
 
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("place", range(3))
 def test_an_incomplete_window_is_reported_by_those_that_hear_most_first(place):
-    complete = reports.find_turn_s(SCHEDULE, place, True, True)
-    incomplete = reports.find_turn_s(SCHEDULE, place, True, False)
-    alone = reports.find_turn_s(SCHEDULE, 0, False, False)
+    complete = usagereports.find_report_delay_s(SCHEDULE, place, True, True)
+    incomplete = usagereports.find_report_delay_s(SCHEDULE, place, True, False)
+    alone = usagereports.find_report_delay_s(SCHEDULE, 0, False, False)
     assert complete < incomplete < alone < SCHEDULE.late_s
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -6,7 +6,7 @@
 
 from robinspindle.core import crashes, quarantine
 from robinspindle.core.crashes import Crash
-from robinspindle.core.fingerprints import NamedRequest
+from robinspindle.core.fingerprints import FingerprintedRequest
 from robinspindle.core.forwarding import Request
 from robinspindle.core.quarantine import Standing
 from robinspindle.core.targets import Announcement, Directory, Target, note_announced
@@ -69,7 +69,7 @@
 
 def name(body=b"crash", target=b"/safe/x", host="shop", caller=b"", method="POST"):
     request = Request("r1", method, target, host, (), body, 2.0, 0.0, caller=caller)
-    return NamedRequest(request)
+    return FingerprintedRequest(request)
 
 
 def test_a_request_is_named_by_what_it_asks_for():
@@ -106,7 +106,7 @@
         world = World()
         world.checks.answer = life
         await world.crash_under(name(), 0, 1, 2, 3)
-        assert not world.guard.evidence.met
+        assert not world.guard.evidence.crashes_by_request
 
     asyncio.run(play())
 
@@ -117,7 +117,7 @@
         for number in range(4):
             target = world.announce(f"leaving{number}", leaving=True)
             await world.break_off(name(), target)
-        assert not world.guard.evidence.met
+        assert not world.guard.evidence.crashes_by_request
 
     asyncio.run(play())
 
@@ -130,9 +130,9 @@
         world.checks.answer = Life.GOES_ON
         target = world.announce("j1@5")
         await world.break_off(name(), target)
-        assert not world.guard.evidence.met
+        assert not world.guard.evidence.crashes_by_request
         world.guard.runs.note_life_over(target)
-        assert crashes.count_met(world.guard.evidence, name().fingerprint) == 1
+        assert crashes.count_crashes(world.guard.evidence, name().fingerprint) == 1
 
     asyncio.run(play())
 
@@ -144,7 +144,7 @@
         await world.crash_under(name(), 0)
         world.checks.answer = Life.OVER
         await world.guard.runs._recheck(world.guard.runs._pending[0])
-        assert crashes.count_met(world.guard.evidence, name().fingerprint) == 1
+        assert crashes.count_crashes(world.guard.evidence, name().fingerprint) == 1
 
     asyncio.run(play())
 
@@ -156,8 +156,8 @@
         target = world.directory.targets["i3"]
         async with world.guard.runs.watch(name(), target, "route") as run:
             pass
-        world.guard.note_good_end(run)
-        assert not world.guard.evidence.met
+        world.guard.note_success(run)
+        assert not world.guard.evidence.crashes_by_request
         assert list_news(world.guard, world.now).cleared == [name().fingerprint]
 
     asyncio.run(play())
@@ -170,7 +170,7 @@
         target = world.directory.targets["i3"]
         async with world.guard.runs.watch(named, target, "route") as run:
             pass
-        world.guard.note_good_end(run)
+        world.guard.note_success(run)
         assert world.guard.find_refusal(named) is None
         assert "fingerprint" not in vars(named)
 
@@ -257,7 +257,7 @@
         target = world.directory.targets["i4"]
         async with world.guard.runs.watch(named, target, "route") as run:
             pass
-        world.guard.note_good_end(run)
+        world.guard.note_success(run)
         assert world.guard.find_refusal(name()) is None
         (told,) = list_news(world.guard, world.now).quarantine
         assert told.standing == Standing.RELEASED.value
@@ -278,7 +278,7 @@
                 assert world.guard.find_refusal(named) is not None
                 world.settle()
             world.now += 60.0
-        assert trials == quarantine.MOST_TRIALS
+        assert trials == quarantine.MAX_TRIALS
 
     asyncio.run(play())
 
@@ -310,7 +310,7 @@
             told += len(list_news(world.guard, world.now).crashes)
             world.now += 0.05
         assert told == 4
-        assert not world.guard.tellings.own_runs
+        assert not world.guard.pending_updates.own_runs
 
     asyncio.run(play())
 
--- a/tests/test_guardscale.py
+++ b/tests/test_guardscale.py
@@ -6,9 +6,9 @@
 import random
 
 from robinspindle.core import quarantine
-from robinspindle.core.fingerprints import NamedRequest
+from robinspindle.core.fingerprints import FingerprintedRequest
 from robinspindle.core.forwarding import Request
-from robinspindle.core.sharing import Load
+from robinspindle.core.peerdigests import Load
 from robinspindle.core.targets import Announcement, Target
 from robinspindle.guard import Guard, Run
 from robinspindle.guardnews import list_news, take_news
@@ -22,7 +22,7 @@
 
 def name_crashing():
     request = Request("r", "POST", b"/safe/x", "shop", (), b"crash", None, 0.0)
-    return NamedRequest(request)
+    return FingerprintedRequest(request)
 
 
 class GuardedNetwork(Network):
@@ -116,7 +116,7 @@
         None,
         "topic",
         gateway.guard.quarantine,
-        gateway.guard.take_entry,
+        gateway.guard.merge_entry,
         lambda fingerprint: find_place(fingerprint, gateway.name, names),
         lambda: 0.0,
         pass_over,
--- a/tests/test_peerfacts.py
+++ b/tests/test_peerfacts.py
@@ -3,11 +3,11 @@
 import pytest
 
 from robinspindle.core.freshness import Freshness
+from robinspindle.core.peerdigests import ConfigurationAge, Facts, PeerView
+from robinspindle.core.peervalidation import are_facts_valid
 from robinspindle.core.relays import Member
-from robinspindle.core.reports import Reports, Schedule
-from robinspindle.core.sharing import Checked, Facts, PeerView
-from robinspindle.core.soundness import are_facts
-from robinspindle.core.usage import Account, add_up
+from robinspindle.core.usage import Account, sum_by_workspace
+from robinspindle.core.usagereports import Reports, Schedule
 from robinspindle.peerfacts import PeerFacts
 from robinspindle.peers import Peers, note_member, note_sent
 from robinspindle.usagebook import UsageBook
@@ -77,14 +77,22 @@
     note_sent(side.peers, 100.0)
     number = side.peers.number
     side.now = 109.0
-    side.facts.take("a2", Facts(seen=number, checked=Checked(1, 500)))
+    side.facts.take(
+        "a2", Facts(last_received=number, configuration_age=ConfigurationAge(1, 500))
+    )
     assert side.freshness.newest_at == 99.5
 
 
 def test_a_number_of_another_life_renews_nothing():
     side = Side("a1")
     note_sent(side.peers, 100.0)
-    side.facts.take("a2", Facts(seen=side.peers.number - 1, checked=Checked(1, 0)))
+    side.facts.take(
+        "a2",
+        Facts(
+            last_received=side.peers.number - 1,
+            configuration_age=ConfigurationAge(1, 0),
+        ),
+    )
     assert side.freshness.newest_at == 99.0
 
 
@@ -92,14 +100,14 @@
     side = Side("a1")
     for _ in range(2):
         side.facts.take("a2", Facts(counts=[Account("a2", 1, 7, {"red": 3})]))
-    assert add_up(side.book.ledger, 7) == {"red": 3}
+    assert sum_by_workspace(side.book.ledger, 7) == {"red": 3}
 
 
 @pytest.mark.parametrize(
     "facts",
     [
-        Facts(checked=Checked(-1, 0)),
-        Facts(checked=Checked(1, -1)),
+        Facts(configuration_age=ConfigurationAge(-1, 0)),
+        Facts(configuration_age=ConfigurationAge(1, -1)),
         Facts(wall_ms=-1),
         Facts(agreed_ms=1 << 60),
         Facts(counts=[Account("a", 1, 7, {"red": -3})]),
@@ -108,4 +116,4 @@
     ],
 )
 def test_what_can_not_be_is_not_believed(facts):
-    assert not are_facts(facts)
+    assert not are_facts_valid(facts)
--- a/tests/test_peerlink.py
+++ b/tests/test_peerlink.py
@@ -4,16 +4,16 @@
 
 from robinspindle.core.engines import note_earlier_cache
 from robinspindle.core.forwarding import Part
-from robinspindle.core.prefillmodel import PrefillSample, estimate_seconds, note_sample
-from robinspindle.core.relays import PATIENCE_S, Member
-from robinspindle.core.sharing import (
-    RELAY_SILENCE_S,
-    Bundle,
+from robinspindle.core.peerdigests import (
+    RELAY_TIMEOUT_S,
+    Datagram,
     Digest,
     Load,
     PeerView,
     Placement,
 )
+from robinspindle.core.prefillmodel import PrefillSample, estimate_seconds, note_sample
+from robinspindle.core.relays import RELAY_SILENCE_TIMEOUT_S, Member
 from robinspindle.core.targets import Announcement, Directory, note_announced
 from robinspindle.fleet import Fleet
 from robinspindle.peerlink import (
@@ -70,7 +70,9 @@
             self.fleet,
             lambda: network.now,
             pass_over,
-            lambda told: self.store_news.append((told.ends, told.is_away)),
+            lambda told: self.store_news.append(
+                (told.topic_ends, told.is_store_unavailable)
+            ),
         )
         self._network = network
         self._host = member.host
@@ -138,7 +140,7 @@
         {"huvo11a": 463_102.0},
         [("i-0000000002", "prefill")],
     )
-    bundle = Bundle(digest.sender, [digest], 12)
+    bundle = Datagram(digest.sender, [digest], 12)
     data = encode(bundle)
     assert decode(data) == bundle
     assert len(data) < 430
@@ -182,7 +184,7 @@
     loads = dict.fromkeys(range(8), 10)
     network.step(loads, times=5)
     network.cut.add("10.0.0.1")
-    steps = round(max(PATIENCE_S, RELAY_SILENCE_S) / STEP_S) + 5
+    steps = round(max(RELAY_SILENCE_TIMEOUT_S, RELAY_TIMEOUT_S) / STEP_S) + 5
     network.step(loads, times=steps)
     assert {network[n].peers.choice.relay for n in (3, 5, 7)} == {"g3"}
     assert [network[n].sum_backlog_s() for n in (0, 2, 3, 5, 7)] == [0.06] * 5
@@ -216,14 +218,14 @@
     good = Digest("g2", 1.0, 1, work, [])
     bad = Digest("g2", 1.0, 2, [Load("e1", 1, [0])], [])
     receive = gateway.link.datagram_received
-    receive(encode(Bundle("g9", [good])), ("10.0.0.9", 7000))
-    receive(encode(Bundle("g2", [good])), ("10.0.0.9", 7000))
-    receive(encode(Bundle("g2", [bad])), ("10.0.0.2", 7000))
-    receive(encode(Bundle("g2", [good]))[:-3], ("10.0.0.2", 7000))
+    receive(encode(Datagram("g9", [good])), ("10.0.0.9", 7000))
+    receive(encode(Datagram("g2", [good])), ("10.0.0.9", 7000))
+    receive(encode(Datagram("g2", [bad])), ("10.0.0.2", 7000))
+    receive(encode(Datagram("g2", [good]))[:-3], ("10.0.0.2", 7000))
     receive(b"no datagram of ours", ("10.0.0.2", 7000))
     assert gateway.peers.refused == 5
     assert gateway.sum_backlog_s() == 0.0
-    receive(encode(Bundle("g2", [good])), ("10.0.0.2", 7000))
+    receive(encode(Datagram("g2", [good])), ("10.0.0.2", 7000))
     assert gateway.sum_backlog_s() == 0.05
 
 
@@ -233,7 +235,9 @@
 
     def receive(started, number, work):
         told = Digest("g2", started, number, [Load("e1", 1, [0, work, 0, 0, 0, 0])], [])
-        gateway.link.datagram_received(encode(Bundle("g2", [told])), ("10.0.0.2", 7000))
+        gateway.link.datagram_received(
+            encode(Datagram("g2", [told])), ("10.0.0.2", 7000)
+        )
 
     receive(2.0, 5, 50)
     receive(2.0, 4, 900)
@@ -275,7 +279,7 @@
     note_sample(teacher.find_pace("lm", True), PrefillSample(3000, 0, 0.3))
     usual_s = estimate_seconds(learner.find_pace("lm", True), 3000, 0)
     for _ in range(round(4 * LEARNT_INTERVAL_S / STEP_S) + 3):
-        network[4].tell(learnt=teacher.list_learnt())
+        network[4].tell(prefill_statistics=teacher.list_learnt())
         for number in (0, 1, 2, 3, 5):
             network[number].tell()
         network.now += STEP_S
@@ -288,7 +292,7 @@
     network.cut = {f"10.0.0.{n}" for n in range(5)}
     network.now += 2.0
     learner_link = network[5].link
-    learner_link.forget_silent(network.now)
+    learner_link.remove_timed_out_peers(network.now)
     assert estimate_seconds(learner.find_pace("lm", True), 3000, 0) < 1.01 * usual_s
 
 
@@ -328,7 +332,7 @@
 def test_how_far_the_store_was_read_is_told():
     network = Network(4)
     network.step(times=3)
-    network[2].tell(ends={"t": 7})
+    network[2].tell(topic_ends={"t": 7})
     network.now += STEP_S
     network.step(times=3)
     for number in (0, 1, 3):
--- a/tests/test_quarantinekeeping.py
+++ b/tests/test_quarantinekeeping.py
@@ -38,7 +38,7 @@
         store or Store(),
         "topic",
         known,
-        lambda entry: quarantine.take_entry(known, entry),
+        lambda entry: quarantine.merge_entry(known, entry),
         lambda fingerprint: place,
         lambda: 0.0,
         log,
@@ -48,10 +48,10 @@
 
 def test_who_judged_writes_at_once_and_the_first_of_the_others_after_a_while():
     own, known = make_keeper(place=7)
-    quarantine.take_own_entry(known, ENTRY)
+    quarantine.merge_own_entry(known, ENTRY)
     assert own.list_due(0.0) == [ENTRY]
     first, known = make_keeper(place=0)
-    quarantine.take_entry(known, ENTRY)
+    quarantine.merge_entry(known, ENTRY)
     assert first.list_due(0.0) == []
     assert first.list_due(STEP_S) == [ENTRY]
 
@@ -65,10 +65,10 @@
     keeper, known = make_keeper()
     key, value = quarantine.make_key(NAME), quarantine.encode_entry(ENTRY)
     keeper.apply(key, value)
-    assert quarantine.find_turned_away(known, NAME) == ENTRY
+    assert quarantine.find_quarantined(known, NAME) == ENTRY
     assert keeper.list_due(100.0) == []
     keeper.apply(key, None)
-    assert quarantine.find_turned_away(known, NAME) == ENTRY
+    assert quarantine.find_quarantined(known, NAME) == ENTRY
     keeper.list_due(200.0)
     assert keeper.list_due(200.0 + STEP_S) == [ENTRY]
 
@@ -87,7 +87,7 @@
     async def play():
         store = Store()
         keeper, known = make_keeper(store)
-        quarantine.take_own_entry(known, ENTRY)
+        quarantine.merge_own_entry(known, ENTRY)
         store.is_away = True
         monkeypatch.setattr("robinspindle.quarantinekeeping.FAILED_PAUSE_S", 0.0)
         await keeper._write(ENTRY)
--- a/tests/test_storenews.py
+++ b/tests/test_storenews.py
@@ -1,5 +1,5 @@
+from robinspindle.core.peerdigests import Digest
 from robinspindle.core.relays import Member
-from robinspindle.core.sharing import Digest
 from robinspindle.following import AWAY_PAUSE_S, MOST_PAUSE_S, Follower
 from robinspindle.peers import Peers
 from robinspindle.storenews import StoreNews
@@ -20,15 +20,24 @@
     return news, followers, peers
 
 
-def tell(news, peer, ends, is_away=False, era=ERA):
+def tell(news, peer, ends, is_store_unavailable=False, era=ERA):
     """Have a peer tell of the store."""
-    told = Digest(peer, 1.0, 1, [], [], ends=ends, is_away=is_away, era=era)
+    told = Digest(
+        peer,
+        1.0,
+        1,
+        [],
+        [],
+        topic_ends=ends,
+        is_store_unavailable=is_store_unavailable,
+        era=era,
+    )
     news.note_told(told)
 
 
 def test_who_is_behind_reads_at_once_and_nobody_else():
     news, (configuration, targets), _ = make_news()
-    tell(news, "g2", {"configuration": 5, "targets": 6}, is_away=False)
+    tell(news, "g2", {"configuration": 5, "targets": 6}, is_store_unavailable=False)
     assert not configuration.nudge.is_set()
     assert targets.nudge.is_set()
     assert news.list_ends() == {"configuration": 5, "targets": 5}
@@ -36,19 +45,19 @@
 
 def test_a_store_that_is_away_for_a_peer_is_checked_by_one_call_each_time():
     news, (configuration, targets), _ = make_news()
-    tell(news, "g2", {}, is_away=True)
+    tell(news, "g2", {}, is_store_unavailable=True)
     assert configuration.nudge.is_set()
     assert not targets.nudge.is_set()
     configuration.nudge.clear()
-    tell(news, "g2", {}, is_away=True)
+    tell(news, "g2", {}, is_store_unavailable=True)
     assert not configuration.nudge.is_set()
 
 
 def test_all_are_tried_when_it_is_back_for_a_peer():
     news, _, _ = make_news()
-    tell(news, "g2", {}, is_away=True)
+    tell(news, "g2", {}, is_store_unavailable=True)
     back = news.outage.back
-    tell(news, "g2", {}, is_away=False)
+    tell(news, "g2", {}, is_store_unavailable=False)
     assert back.is_set()
     assert not news.outage.back.is_set()
 
@@ -56,9 +65,9 @@
 def test_who_hears_of_the_store_from_its_relay_asks_less_often():
     news, _, _ = make_news(relay="g2")
     assert news.outage.find_most_pause_s() == MOST_PAUSE_S
-    tell(news, "g3", {}, is_away=True)
+    tell(news, "g3", {}, is_store_unavailable=True)
     assert news.outage.find_most_pause_s() == MOST_PAUSE_S
-    tell(news, "g2", {}, is_away=True)
+    tell(news, "g2", {}, is_store_unavailable=True)
     assert news.outage.find_most_pause_s() == AWAY_PAUSE_S
 
 
