--- a/benches/platformcalls.py
+++ b/benches/platformcalls.py
@@ -83,7 +83,7 @@
     parts = ",".join(f"{part.id}:{part.tokens}" for part in prompt.parts)
     return [
         f"X-Model: {prompt.model}",
-        f"X-Token-Count: {prompt.tokens},{prompt.out_tokens}",
+        f"X-Token-Count: {prompt.tokens},{prompt.max_answer_tokens}",
         f"X-Prompt-Prefix: {parts}",
     ]
 
@@ -101,8 +101,8 @@
     return _make_prompt((head, Part(f"f{id}", CHAT_OWN_TOKENS)), CHAT_OUT_TOKENS)
 
 
-def _make_prompt(parts: tuple[Part, ...], out_tokens: int) -> Prompt:
-    return Prompt("m", parts, sum(part.tokens for part in parts), out_tokens)
+def _make_prompt(parts: tuple[Part, ...], max_answer_tokens: int) -> Prompt:
+    return Prompt("m", parts, sum(part.tokens for part in parts), max_answer_tokens)
 
 
 _PROMPTS: dict[str, Callable[[random.Random, str], Prompt]] = {
--- a/fuzz/gatewaymutants.py
+++ b/fuzz/gatewaymutants.py
@@ -43,7 +43,7 @@
     Mutant(
         "send again whatever ran",
         forwarding,
-        "may_offer_again",
-        lambda r: lambda route, offers, runs: offers < forwarding.MOST_OFFERS,
+        "may_send_again",
+        lambda r: lambda route, offers, runs: offers < forwarding.MAX_SENDS,
     ),
 )
--- a/fuzz/gatewayworld.py
+++ b/fuzz/gatewayworld.py
@@ -328,7 +328,7 @@
         believed_runs += outcome is not Outcome.TURNED_AWAY
         if outcome is Outcome.DELIVERED:
             break
-        if not forwarding.may_offer_again(route, offers, believed_runs):
+        if not forwarding.may_send_again(route, offers, believed_runs):
             break
         if not budgets.take_repeat(view.budget, now, SERVICE):
             break
--- a/src/robinspindle/choosing.py
+++ b/src/robinspindle/choosing.py
@@ -4,11 +4,12 @@
 import random
 from dataclasses import replace
 
-from robinspindle.core import budgets, hosting, reading, turns
+from robinspindle.core import budgets, decodeplacement, prefillplacement, sizefairness
 from robinspindle.core.engines import Engine
 from robinspindle.core.forwarding import Prompt, Request
 from robinspindle.core.prefillmodel import estimate_busy_s
-from robinspindle.core.reading import Plan
+from robinspindle.core.prefillplacement import RequestPlan
+from robinspindle.core.priorities import LATE_LEVEL
 from robinspindle.core.rebalancing import (
     PrefillDemand,
     compute_prefill_load,
@@ -16,9 +17,8 @@
 )
 from robinspindle.core.routes import Route
 from robinspindle.core.selection import choose_target
+from robinspindle.core.sizefairness import SizeFairness
 from robinspindle.core.targets import Target
-from robinspindle.core.turns import Turns
-from robinspindle.core.urgency import LATE
 from robinspindle.passages import Means, Passage
 
 MOST_READS = 2
@@ -37,30 +37,30 @@
         self.demands: dict[str, PrefillDemand] = {}
         self._means = means
         self._rng = rng
-        self._turns = Turns()
-        self._answer_turns = Turns()
+        self._turns = SizeFairness()
+        self._answer_turns = SizeFairness()
 
     def note_expected(self, request: Request, route: Route, service: str) -> None:
         """Take note of how long an answer a caller expects."""
         prompt = request.prompt
         if prompt is None:
             return
-        expected = prompt.expected_tokens or prompt.out_tokens
+        expected = prompt.expected_answer_tokens or prompt.max_answer_tokens
         event_tokens = self._means.fleet.count_event_tokens(service)
         events = expected / event_tokens
         self._means.lengths.note_expected(route.name, service, events)
 
-    def note_asked(self, passage: Passage, now: float) -> None:
+    def note_arrival(self, passage: Passage, now: float) -> None:
         """Take note of a request; its length or its answer's may be due a turn."""
         prompt = passage.request.prompt
         if prompt is None:
             return
         route = passage.route.name
         for kept, tokens in self._list_turns(prompt):
-            turns.note_asked(kept, now, route, tokens)
+            sizefairness.note_arrival(kept, now, route, tokens)
         if self._means.policy().gives_turns:
-            passage.has_turn, passage.has_answer_turn = (
-                turns.is_due(kept, now, route, tokens)
+            passage.is_prompt_underserved, passage.is_answer_underserved = (
+                sizefairness.is_underserved(kept, now, route, tokens)
                 for kept, tokens in self._list_turns(prompt)
             )
 
@@ -69,15 +69,15 @@
         prompt = passage.request.prompt
         if prompt is None or is_served == passage.counts_as_served:
             return
-        note = turns.note_served if is_served else turns.note_lost
+        note = sizefairness.note_served if is_served else sizefairness.note_not_served
         for kept, tokens in self._list_turns(prompt):
             note(kept, now, passage.route.name, tokens)
 
-    def _list_turns(self, prompt: Prompt) -> tuple[tuple[Turns, int], ...]:
+    def _list_turns(self, prompt: Prompt) -> tuple[tuple[SizeFairness, int], ...]:
         """List whose turns a request counts for: its prompt's length, its answer's."""
         return (
             (self._turns, prompt.tokens),
-            (self._answer_turns, prompt.expected_tokens),
+            (self._answer_turns, prompt.expected_answer_tokens),
         )
 
     def expects_long(self, route: Route, service: str) -> bool:
@@ -85,7 +85,7 @@
         gathers_long = self._means.policy().gathers_long
         return gathers_long and self._means.lengths.is_long(route.name, service)
 
-    def choose(self, passage: Passage, now: float) -> Plan | None:
+    def choose(self, passage: Passage, now: float) -> RequestPlan | None:
         """Choose a plan; None where no target may get the request."""
         usable = self._list_usable(passage, now)
         pairs = [(target, self._means.fleet.find_engine(target)) for target in usable]
@@ -95,25 +95,25 @@
         if passage.reads and not self._may_read_again(passage, now):
             pairs = [pair for pair in pairs if not pair[1].prefill_only]
         at = self._describe_situation(passage, now)
-        plan = reading.choose_plan(pairs, prompt, at)
-        if plan is not None and passage.plan is None and plan.unread:
+        plan = prefillplacement.choose_plan(pairs, prompt, at)
+        if plan is not None and passage.plan is None and plan.uncached_tokens:
             self._note_demand(passage, plan, now)
-        if plan is not None and plan.level < LATE and plan.is_borne:
+        if plan is not None and plan.level < LATE_LEVEL and plan.has_capacity:
             self._count_as_served(passage, now)
         return plan
 
-    def is_hopeless(self, passage: Passage, plan: Plan, now: float) -> bool:
+    def should_refuse(self, passage: Passage, plan: RequestPlan, now: float) -> bool:
         """Tell whether a request had better be refused than sent."""
         if passage.offers or passage.reads or passage.request.prompt is None:
             return False
         serves_late = self._means.policy().serves_late
         # Who is refused at once can come back in time; who came back may not again.
-        most_slot_wait_s = math.inf if passage.is_return else passage.aim_at - now
-        return reading.is_hopeless(
+        most_slot_wait_s = math.inf if passage.is_caller_retry else passage.aim_at - now
+        return prefillplacement.should_refuse(
             plan, passage.first_due - now, serves_late, most_slot_wait_s
         )
 
-    def find_host(self, passage: Passage, plan: Plan) -> Target | None:
+    def find_host(self, passage: Passage, plan: RequestPlan) -> Target | None:
         """Find where to generate the answer to a prompt that was read apart.
 
         Reading takes up to seconds, and the engine that was planned may have begun to
@@ -126,9 +126,9 @@
         engines = [pair for pair in pairs if pair[1] is not None]
         means = self._means
         age_s = means.peers.interval_s
-        has_exposed = means.lengths.has_exposed(passage.service)
-        return hosting.choose_host(
-            engines, means.zone, now, age_s, self._rng, has_exposed
+        has_pause_sensitive = means.lengths.has_pause_sensitive(passage.service)
+        return decodeplacement.choose_decode_target(
+            engines, means.zone, now, age_s, self._rng, has_pause_sensitive
         )
 
     def _list_usable(self, passage: Passage, now: float) -> list[Target]:
@@ -166,18 +166,18 @@
         if not passage.counts_as_served:
             passage.counts_as_served = True
             for kept, tokens in self._list_turns(passage.request.prompt):
-                turns.note_served(kept, now, passage.route.name, tokens)
+                sizefairness.note_served(kept, now, passage.route.name, tokens)
 
-    def _note_demand(self, passage: Passage, plan: Plan, now: float) -> None:
-        context = passage.request.prompt.tokens - plan.unread
+    def _note_demand(self, passage: Passage, plan: RequestPlan, now: float) -> None:
+        context = passage.request.prompt.tokens - plan.uncached_tokens
         pace = self._means.fleet.find_pace(passage.service, prefill_only=True)
-        seconds = estimate_busy_s(pace, plan.unread, context)
+        seconds = estimate_busy_s(pace, plan.uncached_tokens, context)
         demand = self.demands.setdefault(passage.service, PrefillDemand())
         note_prefill_demand(demand, now, seconds)
 
     def _choose_plainly(
         self, pairs: list[tuple[Target, Engine | None]], now: float
-    ) -> Plan | None:
+    ) -> RequestPlan | None:
         """Choose a target without regard to any prompt."""
         plain = [
             target
@@ -186,21 +186,25 @@
         ]
         if not plain:
             return None
-        return Plan(
+        return RequestPlan(
             target=choose_target(plain, self._means.zone, now, self._rng),
             reader=None,
-            unread=0,
+            uncached_tokens=0,
             prefill_s=0.0,
             wait_s=0.0,
-            first_s=0.0,
+            first_event_s=0.0,
             cost_s=0.0,
         )
 
-    def _describe_situation(self, passage: Passage, now: float) -> reading.Situation:
+    def _describe_situation(
+        self, passage: Passage, now: float
+    ) -> prefillplacement.PlanningContext:
         at = self._describe_any(passage, now)
         return self._add_bounds(at, passage) if passage.is_long else at
 
-    def _add_bounds(self, at: reading.Situation, passage: Passage) -> reading.Situation:
+    def _add_bounds(
+        self, at: prefillplacement.PlanningContext, passage: Passage
+    ) -> prefillplacement.PlanningContext:
         """Add how long events of a long answer may take at its host."""
         prompt, route = passage.request.prompt, passage.route
         event_tokens = self._means.fleet.count_event_tokens(passage.service)
@@ -208,14 +212,16 @@
         mean_events = self._means.lengths.events.get(route.name, 0.0)
         return replace(
             at,
-            most_event_s=hosting.find_most_event_s(prompt, event_tokens, whole_s),
-            longest_event_s=hosting.find_longest_event_s(
+            max_event_s=decodeplacement.find_max_event_s(prompt, event_tokens, whole_s),
+            longest_answer_event_s=decodeplacement.find_longest_answer_event_s(
                 prompt, event_tokens, mean_events, whole_s, route.gap_s
             ),
         )
 
-    def _describe_any(self, passage: Passage, now: float) -> reading.Situation:
-        return reading.Situation(
+    def _describe_any(
+        self, passage: Passage, now: float
+    ) -> prefillplacement.PlanningContext:
+        return prefillplacement.PlanningContext(
             now=now,
             left_s=passage.aim_at - now,
             latency_objective_s=passage.route.latency_objective_s,
@@ -223,13 +229,17 @@
             zone=self._means.zone,
             rank=passage.rank,
             is_long=passage.is_long,
-            has_exposed=self._means.lengths.has_exposed(passage.service),
-            begin_s=self._means.lengths.find_begin_s(passage.service, now),
-            late_begin_s=self._means.lengths.find_begin_s(passage.service, now, True),
+            has_pause_sensitive=self._means.lengths.has_pause_sensitive(
+                passage.service
+            ),
+            handoff_s=self._means.lengths.find_handoff_s(passage.service, now),
+            late_handoff_s=self._means.lengths.find_handoff_s(
+                passage.service, now, True
+            ),
             token_transfer_s=self._means.fleet.find_token_transfer_s(passage.service),
             age_s=self._means.peers.interval_s,
             rng=self._rng,
             policy=self._means.policy(),
-            has_turn=passage.has_turn,
-            has_answer_turn=passage.has_answer_turn,
+            is_prompt_underserved=passage.is_prompt_underserved,
+            is_answer_underserved=passage.is_answer_underserved,
         )
--- a/src/robinspindle/core/lengths.py
+++ b/src/robinspindle/core/answerstats.py
@@ -15,7 +15,7 @@
 FIRST_EVENT_S = 0.05
 """What an event is believed to take before any was seen, seconds."""
 
-LEAST_EVENTS = 8
+MIN_TIMED_EVENTS = 8
 """Shorter answers don't tell how long an event takes: their last one is cut short, and
 where nine in ten streams are that short, all events would look so."""
 
@@ -34,7 +34,7 @@
 """Time in which that is forgotten where no answer begins, seconds: what makes all plans
 late would never be seen to be over, as nothing goes there in time."""
 
-EXPOSED_EVENTS = 4.0
+MIN_PAUSE_SENSITIVE_EVENTS = 4.0
 """Answers of a route that are expected to hold fewer events hardly have a pause: what
 is read beside them is not limited for their sake, or engines that host only answers of
 one or two events would read less than they can."""
@@ -55,7 +55,7 @@
 
 
 @dataclass
-class Pressure:
+class DeadlinePressure:
     """How long the longest answers of a service would take against the time they have.
 
     Attributes:
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True)
-class Begin:
+class Handoff:
     """How long answers took to begin after their prompts were read.
 
     Attributes:
@@ -83,7 +83,7 @@
 
 
 @dataclass
-class Lengths:
+class AnswerStats:
     """What is known of answers.
 
     Attributes:
@@ -96,10 +96,10 @@
     """
 
     event_s: dict[str, float] = field(default_factory=dict)
-    begins: dict[tuple[str, bool], Begin] = field(default_factory=dict)
+    begins: dict[tuple[str, bool], Handoff] = field(default_factory=dict)
     events: dict[str, float] = field(default_factory=dict)
     services: dict[str, str] = field(default_factory=dict)
-    pressures: dict[str, Pressure] = field(default_factory=dict)
+    pressures: dict[str, DeadlinePressure] = field(default_factory=dict)
 
     def note_expected(self, route: str, service: str, events: float) -> None:
         """Take note of how many events a caller expects."""
@@ -109,7 +109,7 @@
 
     def note_answer(self, service: str, events: int, seconds: float) -> None:
         """Take note of an answer: its events, and from its first to its last."""
-        if events < LEAST_EVENTS:
+        if events < MIN_TIMED_EVENTS:
             return
         known = self.find_event_s(service)
         taken = seconds / (events - 1)
@@ -129,7 +129,7 @@
             share: How long an answer with the most events would have taken at the pace
                 of this one, as a share of the time that its caller gave it.
         """
-        pressure = self.pressures.setdefault(service, Pressure(at=now))
+        pressure = self.pressures.setdefault(service, DeadlinePressure(at=now))
         kept = math.exp((pressure.at - now) / PRESSURE_S)
         pressure.weight = pressure.weight * kept + 1.0
         pressure.total = pressure.total * kept + share
@@ -149,7 +149,7 @@
         # A few answers of long ago say nothing of the present.
         return pressure.total / pressure.weight if weight >= 1.0 else 0.0
 
-    def note_begun(
+    def note_handoff(
         self, service: str, now: float, seconds: float, is_late: bool
     ) -> None:
         """Take note of how long an answer took to begin after its prompt was read.
@@ -160,13 +160,13 @@
             seconds: How long it took.
             is_late: Whether it went after all that can be in time.
         """
-        known = self.find_begin_s(service, now, is_late)
+        known = self.find_handoff_s(service, now, is_late)
         # Toward the middle one: a few that hung for seconds say nothing of the others.
         step = BEGIN_STEP if seconds > known else 1 / BEGIN_STEP
-        begin_s = max(LEAST_BEGIN_S, known * step)
-        self.begins[service, is_late] = Begin(begin_s, now)
+        handoff_s = max(LEAST_BEGIN_S, known * step)
+        self.begins[service, is_late] = Handoff(handoff_s, now)
 
-    def find_begin_s(self, service: str, now: float, is_late: bool = False) -> float:
+    def find_handoff_s(self, service: str, now: float, is_late: bool = False) -> float:
         """Find how long an answer takes to begin after a reading apart, seconds.
 
         What is late waits at its host for all that is not. Learnt together, that wait
@@ -183,17 +183,17 @@
         kept = math.exp((begin.at - now) / BEGIN_NEWS_S)
         return FIRST_BEGIN_S + (begin.seconds - FIRST_BEGIN_S) * kept
 
-    def has_exposed(self, service: str) -> bool:
+    def has_pause_sensitive(self, service: str) -> bool:
         """Whether a service has answers that are short and yet have pauses."""
         return any(
-            self.is_exposed(route) and not self.is_long(route, service)
+            self.is_pause_sensitive(route) and not self.is_long(route, service)
             for route, served_by in self.services.items()
             if served_by == service
         )
 
-    def is_exposed(self, route: str) -> bool:
+    def is_pause_sensitive(self, route: str) -> bool:
         """Whether answers of a route are expected to hold enough events to pause."""
-        return self.events.get(route, 0.0) >= EXPOSED_EVENTS
+        return self.events.get(route, 0.0) >= MIN_PAUSE_SENSITIVE_EVENTS
 
     def is_long(self, route: str, service: str) -> bool:
         """Whether answers of a route are expected to be long."""
--- a/src/robinspindle/core/engines.py
+++ b/src/robinspindle/core/engines.py
@@ -14,7 +14,7 @@
 from robinspindle.core import prefillmodel
 from robinspindle.core.forwarding import Part, Prompt
 from robinspindle.core.prefillmodel import PrefillModel, PrefillSample
-from robinspindle.core.urgency import LATE, make_levels
+from robinspindle.core.priorities import LATE_LEVEL, make_level_sums
 
 SLOWNESS_SMOOTHING = 0.2
 """Weight of the newest reading in what one engine takes against all of its service:
@@ -105,9 +105,9 @@
     cached_tokens: int = 0
     ready_at: dict[str, float] = field(default_factory=dict)
     is_cache_known: bool = False
-    own_backlog_s: list[float] = field(default_factory=make_levels)
+    own_backlog_s: list[float] = field(default_factory=make_level_sums)
     peer_backlogs_s: dict[str, list[float]] = field(default_factory=dict)
-    peers_backlog_s: list[float] = field(default_factory=make_levels)
+    peers_backlog_s: list[float] = field(default_factory=make_level_sums)
     peers_in_flight: dict[str, int] = field(default_factory=dict)
     slot_hold_s: float = 0.0
     own_long_answers: int = 0
@@ -124,7 +124,7 @@
     @property
     def backlog_s(self) -> float:
         """Seconds of reading that is still to be done for all entries."""
-        return sum_backlog_s(self, LATE)
+        return sum_backlog_s(self, LATE_LEVEL)
 
     @property
     def others_in_flight(self) -> int:
@@ -303,7 +303,7 @@
 
 def sum_backlog_s(engine: Engine, level: int) -> float:
     """Sum the seconds of reading to be done that are as urgent as a level, or more."""
-    if level == LATE:
+    if level == LATE_LEVEL:
         return sum(engine.own_backlog_s) + sum(engine.peers_backlog_s)
     return sum(engine.own_backlog_s[: level + 1]) + sum(
         engine.peers_backlog_s[: level + 1]
@@ -330,7 +330,9 @@
     pairs = zip(engine.peers_backlog_s, known, strict=True)
     # Without peers what rounding left over goes too.
     engine.peers_backlog_s = (
-        [max(0.0, a - b) for a, b in pairs] if engine.peer_backlogs_s else make_levels()
+        [max(0.0, a - b) for a, b in pairs]
+        if engine.peer_backlogs_s
+        else make_level_sums()
     )
 
 
@@ -346,7 +348,7 @@
         now: The present time, steady seconds.
     """
     work_s = sum_backlog_s(engine, level)
-    others_s = max(0.0, sum_backlog_s(engine, LATE) - work_s)
+    others_s = max(0.0, sum_backlog_s(engine, LATE_LEVEL) - work_s)
     urgent_s = total_s = squares = 0.0
     # One pass for all sums: this is asked for each engine and request.
     for begun in engine.recent_prefills:
--- a/src/robinspindle/core/estimates.py
+++ b/src/robinspindle/core/estimates.py
@@ -41,7 +41,7 @@
     """How one engine would read a prompt.
 
     Attributes:
-        unread: Tokens that it has to read.
+        uncached_tokens: Tokens that it has to read.
         seconds: How long it takes with the fetch, without the wait.
         prefill_s: How long the engine is busy with it, seconds.
         fetch_s: How long the fetch takes, seconds.
@@ -50,7 +50,7 @@
         holder: From whose cache it fetches first; None for none.
     """
 
-    unread: int
+    uncached_tokens: int
     seconds: float
     prefill_s: float
     penalty_s: float
@@ -136,15 +136,15 @@
     fetched = held - cached
     shared = count_shared(prompt)
     missing = max(0, shared - held)
-    unread = prompt.tokens - held
-    answered_s = estimate_prefill_s(engine, unread, held) * slowness
-    prefill_s = estimate_busy_s(engine, unread, held) * slowness
+    uncached_tokens = prompt.tokens - held
+    answered_s = estimate_prefill_s(engine, uncached_tokens, held) * slowness
+    prefill_s = estimate_busy_s(engine, uncached_tokens, held) * slowness
     copied_s = estimate_busy_s(engine, min(fetched, shared), cached) * slowness
     fetch_s = _find_move_s(move, fetched, target) if move else 0.0
-    missing_s = prefill_s * missing / max(1, unread)
+    missing_s = prefill_s * missing / max(1, uncached_tokens)
     fetch_weight = FETCH_WEIGHT if engine.prefill_only else 0.0
     return PrefillEstimate(
-        unread=unread,
+        uncached_tokens=uncached_tokens,
         seconds=answered_s + fetch_s,
         prefill_s=prefill_s,
         penalty_s=REREAD_WEIGHT * missing_s + fetch_weight * copied_s,
--- a/src/robinspindle/core/forwarding.py
+++ b/src/robinspindle/core/forwarding.py
@@ -12,10 +12,10 @@
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
-LEAST_TRY_S = 0.01
+MIN_ATTEMPT_S = 0.01
 """The shortest time worth giving a target, seconds: a few network round trips."""
 
-MOST_OFFERS = 3
+MAX_SENDS = 3
 """The most times that one attempt is sent: full targets are seldom alone."""
 
 LEAST_PATIENCE_S = 2.0
@@ -24,7 +24,7 @@
 """Callers give a stream up after a silence of the longest of these: seconds, times its
 aim, times the pause that is in time; by the platform's page on requests."""
 
-ANSWER_GRACE_S = 0.1
+TIMEOUT_ANSWER_GRACE_S = 0.1
 """How long a target's own timeout answer is waited for, seconds: well under the
 quarter of a second after which holding a request is counted against us."""
 
@@ -45,15 +45,15 @@
         model: The model.
         parts: Its parts in order; the last is the request's own.
         tokens: Tokens of the whole prompt.
-        out_tokens: The most tokens of the answer.
-        expected_tokens: The caller's guess of its tokens; 0 where it gives none.
+        max_answer_tokens: The most tokens of the answer.
+        expected_answer_tokens: The caller's guess of its tokens; 0 where it gives none.
     """
 
     model: str
     parts: tuple[Part, ...]
     tokens: int
-    out_tokens: int
-    expected_tokens: int = 0
+    max_answer_tokens: int
+    expected_answer_tokens: int = 0
 
 
 @dataclass(frozen=True)
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True)
-class Source:
+class CacheSource:
     """Where a prompt that was read already can be fetched from."""
 
     address: str
@@ -108,8 +108,8 @@
     Attributes:
         lifetime: The lifetime of the target that is meant; another one refuses.
         left_s: How long the target may work on it, seconds.
-        urgency: 0 is the most urgent, 9 the least.
-        read_only: Whether the prompt is only to be read and held.
+        priority: 0 is the most urgent, 9 the least.
+        prefill_only: Whether the prompt is only to be read and held.
         source: Where the read prompt is to be fetched from, None to read it there.
         holder: Address of an engine from whose cache the target first fetches what it
             lacks of the prompt; empty for none.
@@ -118,9 +118,9 @@
 
     lifetime: str
     left_s: float
-    urgency: int
-    read_only: bool = False
-    source: Source | None = None
+    priority: int
+    prefill_only: bool = False
+    source: CacheSource | None = None
     holder: str = ""
     resume_after: str | None = None
 
@@ -173,7 +173,7 @@
 TIMED_OUT = Refusal(504, "timed-out")
 
 
-def find_due(request: Request, route: Route) -> float:
+def find_deadline(request: Request, route: Route) -> float:
     """Find when the final answer of an attempt is due, steady seconds."""
     wait_s = route.timeout_s
     if request.wait_s is not None:
@@ -181,9 +181,9 @@
     return request.received_at + wait_s
 
 
-def find_first_due(request: Request, route: Route) -> float:
+def find_first_event_deadline(request: Request, route: Route) -> float:
     """Find when a caller gives up if nothing of its answer has come, steady seconds."""
-    due = find_due(request, route)
+    due = find_deadline(request, route)
     if route.kind != STREAM:
         return due
     patience_s = max(
@@ -194,7 +194,7 @@
     return min(due, request.received_at + patience_s)
 
 
-def may_offer_again(route: Route, offers: int, runs: int) -> bool:
+def may_send_again(route: Route, offers: int, runs: int) -> bool:
     """Whether a request may be sent to one more target to be run.
 
     Args:
@@ -202,14 +202,14 @@
         offers: Times that it was sent.
         runs: Targets that may have run it; those that turned it away don't count.
     """
-    if offers >= MOST_OFFERS:
+    if offers >= MAX_SENDS:
         return False
     if runs == 0:
         return True
     return route.may_rerun and runs < route.attempts
 
 
-def refuse_unrun(reason: str, retry_s: float, left_s: float) -> Refusal:
+def refuse_not_run(reason: str, retry_s: float, left_s: float) -> Refusal:
     """Refuse a request that has not run and never will.
 
     Callers honour the hint up to a third of the time that they have left.
@@ -217,11 +217,11 @@
     return Refusal(503, reason, min(retry_s, max(0.0, left_s / 3)))
 
 
-def refuse_unsure(left_s: float) -> Refusal:
+def refuse_unknown_outcome(left_s: float) -> Refusal:
     """Answer for a request that may have run."""
-    return TIMED_OUT if left_s <= LEAST_TRY_S else BROKEN
+    return TIMED_OUT if left_s <= MIN_ATTEMPT_S else BROKEN
 
 
-def write_retry_after(seconds: float) -> bytes:
+def format_retry_after(seconds: float) -> bytes:
     """Write a hint of seconds with its fraction, rounded up to a hundredth."""
     return f"{math.ceil(seconds * 100) / 100:g}".encode()
--- a/src/robinspindle/core/peerdigests.py
+++ b/src/robinspindle/core/peerdigests.py
@@ -20,7 +20,7 @@
 )
 from robinspindle.core.forwarding import Part
 from robinspindle.core.prefillmodel import FitSums
-from robinspindle.core.urgency import FIRST_RANK
+from robinspindle.core.priorities import FIRST_RANK_LEVEL
 from robinspindle.core.usage import Account
 
 PEER_TIMEOUT_S = 1.5
@@ -76,7 +76,7 @@
     lifetime: str
     parts: list[tuple[str, int]]
     work_ms: int = 0
-    level: int = FIRST_RANK
+    level: int = FIRST_RANK_LEVEL
 
 
 class PrefillStatistics(msgspec.Struct, array_like=True):
--- a/src/robinspindle/core/peervalidation.py
+++ b/src/robinspindle/core/peervalidation.py
@@ -17,7 +17,7 @@
     Placement,
 )
 from robinspindle.core.prefillmodel import FitSums
-from robinspindle.core.urgency import LEVELS
+from robinspindle.core.priorities import LEVELS
 from robinspindle.core.usage import is_valid_account
 
 MAX_REQUESTS = 100_000
--- a/src/robinspindle/core/reading.py
+++ b/src/robinspindle/core/prefillplacement.py
@@ -10,7 +10,17 @@
 import random
 from dataclasses import dataclass, replace
 
-from robinspindle.core.answering import may_read_beside
+from robinspindle.core.decodeplacement import (
+    SLOT_S,
+    choose_long_decode_pair,
+    count_requests,
+    estimate_decode_cost_s,
+    estimate_slot_wait_s,
+    estimate_target_cost_s,
+    find_event_slowdown,
+    find_fastest_event_s,
+    has_long_capacity,
+)
 from robinspindle.core.engines import (
     RECENT_WINDOW_S,
     Engine,
@@ -26,34 +36,24 @@
     find_cache_transfer,
 )
 from robinspindle.core.forwarding import Prompt
-from robinspindle.core.hosting import (
-    SLOT_S,
-    bears_long,
-    choose_long_host,
-    count_requests,
-    find_fastest_s,
-    find_slot_wait,
-    find_slowness,
-    weigh_place,
-    weigh_target,
-)
+from robinspindle.core.interference import may_prefill_beside
 from robinspindle.core.policy import Policy
-from robinspindle.core.targets import Target
-from robinspindle.core.urgency import (
-    FIRST_RANK,
-    LATE,
-    SHORT,
-    find_level,
+from robinspindle.core.priorities import (
+    FIRST_RANK_LEVEL,
+    LATE_LEVEL,
+    SHORT_LEVEL,
+    find_priority_level,
     find_rank_level,
     is_short,
 )
+from robinspindle.core.targets import Target
 
 SPREAD_SHARE = 1.0
 """By how much costs are varied at random, as a share of the age of what is known."""
 
 FEW_CHOICES = 2
 DRAWS = 2
-MOST_UNSEEN = 0.3
+MAX_UNREPORTED_PREFILLS = 0.3
 """Where others place more prompts at an engine than this, on average, before they tell
 of it, only so many engines are compared, drawn at random; so many draws are made where
 none of the first is in time. The choice of two rather than one is what matters where
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True)
-class Plan:
+class RequestPlan:
     """Where a request goes.
 
     Attributes:
@@ -83,35 +83,35 @@
         reader: Where its prompt is read; None to read it at the target.
         holder: From whose cache the engine that reads it first fetches the parts that
             it lacks; None for none.
-        unread: Tokens that have to be read.
+        uncached_tokens: Tokens that have to be read.
         prefill_s: Estimated seconds for which they occupy an engine.
         wait_s: Estimated wait for other prompts, seconds.
-        first_s: Estimated seconds until the first event.
+        first_event_s: Estimated seconds until the first event.
         cost_s: What it counts for against other plans, seconds.
         missing_share: Share of the prompt's shared parts that has to be read again.
         fetch_s: Seconds of fetching from the holder.
         level: How urgent the reading is.
-        is_borne: Whether the target bears a long answer beside those that it has.
+        has_capacity: Whether the target bears a long answer beside those that it has.
         slot_wait_s: Estimated wait of a long answer for a slot of the target, seconds.
     """
 
     target: Target
     reader: Target | None
-    unread: int
+    uncached_tokens: int
     prefill_s: float
     wait_s: float
-    first_s: float
+    first_event_s: float
     cost_s: float
     missing_share: float = 0.0
     holder: Target | None = None
     fetch_s: float = 0.0
-    level: int = FIRST_RANK
-    is_borne: bool = True
+    level: int = FIRST_RANK_LEVEL
+    has_capacity: bool = True
     slot_wait_s: float = 0.0
 
 
 @dataclass(frozen=True)
-class Situation:
+class PlanningContext:
     """What a choice depends on besides the engines.
 
     Attributes:
@@ -122,23 +122,23 @@
         is_long: Whether the answer is expected to be long.
         gap_s: The longest pause that long answers beside it may have, seconds.
         zone: The entry's availability zone.
-        has_exposed: Whether short answers beside it have pauses at all.
-        begin_s: Seconds from the end of a reading apart to the first event.
-        late_begin_s: The same for what goes after all that can be in time.
+        has_pause_sensitive: Whether short answers beside it have pauses at all.
+        handoff_s: Seconds from the end of a reading apart to the first event.
+        late_handoff_s: The same for what goes after all that can be in time.
         token_transfer_s: Seconds that a token takes from engine to engine within an
             availability zone; None where that is not known.
         age_s: How old what the other entries told may be, seconds.
         rng: Source of random choices; None to choose by cost alone.
         policy: The decisions in force.
-        has_turn: Whether it is read in the order of its rank also where it can't be in
-            time, as prompts of its length are due a turn.
+        is_prompt_underserved: Whether prompts of its length are underserved, so that
+            it keeps the priority of its rank even if it misses its deadline.
         fastest_s: Pace of the fastest host, seconds an event; 0 where none is known
             or short answers have no pauses.
-        most_event_s: The longest that an event may take for the answer to end in time,
+        max_event_s: The longest that an event may take for the answer to end in time,
             seconds.
-        longest_event_s: The same for the longest answers of its kind, seconds.
+        longest_answer_event_s: The same for the longest answers of its kind, seconds.
         slot_wait_s: How long a long answer waits for a slot of its host, seconds.
-        has_answer_turn: Whether it is sent also where its host has too many long
+        is_answer_underserved: Whether it is sent also where its host has too many long
             answers, as those of its length are due a turn.
     """
 
@@ -149,22 +149,24 @@
     zone: str
     rank: int = 0
     is_long: bool = False
-    has_exposed: bool = True
-    begin_s: float = 0.0
-    late_begin_s: float = 0.0
+    has_pause_sensitive: bool = True
+    handoff_s: float = 0.0
+    late_handoff_s: float = 0.0
     token_transfer_s: float | None = None
     age_s: float = 0.0
     rng: random.Random | None = None
     policy: Policy = Policy()
-    has_turn: bool = False
+    is_prompt_underserved: bool = False
     fastest_s: float = 0.0
-    most_event_s: float = math.inf
-    longest_event_s: float = math.inf
+    max_event_s: float = math.inf
+    longest_answer_event_s: float = math.inf
     slot_wait_s: float = 0.0
-    has_answer_turn: bool = False
+    is_answer_underserved: bool = False
 
 
-def choose_plan(candidates: list[Pair], prompt: Prompt, at: Situation) -> Plan | None:
+def choose_plan(
+    candidates: list[Pair], prompt: Prompt, at: PlanningContext
+) -> RequestPlan | None:
     """Choose where a prompt is read and its answer generated.
 
     Args:
@@ -179,38 +181,42 @@
     generating = [pair for pair in candidates if not pair[1].prefill_only]
     if not generating:
         return None
-    if at.has_exposed:
-        at = replace(at, fastest_s=find_fastest_s(generating, at.now))
+    if at.has_pause_sensitive:
+        at = replace(at, fastest_s=find_fastest_event_s(generating, at.now))
     move = _find_move(candidates, prompt, at)
     if at.is_long:
-        host = choose_long_host(
-            generating, at.zone, at.now, at.most_event_s, at.longest_event_s
+        host = choose_long_decode_pair(
+            generating, at.zone, at.now, at.max_event_s, at.longest_answer_event_s
+        )
+        has_capacity = has_long_capacity(
+            host, at.now, at.max_event_s, at.longest_answer_event_s
         )
-        is_borne = bears_long(host, at.now, at.most_event_s, at.longest_event_s)
-        at = replace(at, slot_wait_s=find_slot_wait(host))
+        at = replace(at, slot_wait_s=estimate_slot_wait_s(host))
         plan = _plan_long(host, candidates, prompt, at, move)
-        return replace(plan, is_borne=is_borne or at.has_answer_turn)
+        return replace(plan, has_capacity=has_capacity or at.is_answer_underserved)
     draws = _draw(candidates, at)
     for drawn in draws:
         plans = _list_plans(drawn, generating, prompt, at, move)
-        in_time = [plan for plan in plans if plan.first_s <= at.left_s * IN_TIME_SHARE]
+        in_time = [
+            plan for plan in plans if plan.first_event_s <= at.left_s * IN_TIME_SHARE
+        ]
         if in_time:
             return min(in_time, key=lambda plan: plan.cost_s + _draw_spread(at))
     compared = [pair for drawn in draws for pair in drawn]
-    is_late = not at.has_turn
+    is_late = not at.is_prompt_underserved
     late = _list_plans(compared, generating, prompt, at, move, is_late)
     if not late:
         late = _list_plans(candidates, generating, prompt, at, move, is_late)
-    return min(late, key=lambda plan: plan.first_s + _draw_spread(at))
+    return min(late, key=lambda plan: plan.first_event_s + _draw_spread(at))
 
 
 def _plan_long(
     host: Pair,
     candidates: list[Pair],
     prompt: Prompt,
-    at: Situation,
+    at: PlanningContext,
     move: CacheTransfer | None,
-) -> Plan:
+) -> RequestPlan:
     """Plan where the prompt of a long answer is read; its host is chosen already.
 
     The host reads it only where what it generates bears that. Read there in any case,
@@ -227,8 +233,8 @@
     return min(plans, key=lambda plan: plan.cost_s, default=local)
 
 
-def is_hopeless(
-    plan: Plan,
+def should_refuse(
+    plan: RequestPlan,
     last_s: float,
     serves_late: bool = True,
     most_slot_wait_s: float = math.inf,
@@ -250,14 +256,14 @@
         most_slot_wait_s: The longest wait for a slot of its host that is worth while,
             seconds.
     """
-    if not plan.is_borne or plan.slot_wait_s > most_slot_wait_s:
+    if not plan.has_capacity or plan.slot_wait_s > most_slot_wait_s:
         return True
-    if plan.level == LATE and not serves_late:
+    if plan.level == LATE_LEVEL and not serves_late:
         return True
-    return plan.first_s > last_s * HOPE_SHARE
+    return plan.first_event_s > last_s * HOPE_SHARE
 
 
-def _draw(candidates: list[Pair], at: Situation) -> list[list[Pair]]:
+def _draw(candidates: list[Pair], at: PlanningContext) -> list[list[Pair]]:
     """Draw the engines to compare; the next ones count if none is in time before.
 
     The more prompts others place before they tell of them, the less the best plan by
@@ -270,16 +276,18 @@
     return [drawn[start : start + few] for start in range(0, len(drawn), few)]
 
 
-def _is_old(candidates: list[Pair], at: Situation) -> bool:
+def _is_old(candidates: list[Pair], at: PlanningContext) -> bool:
     """Whether too much is placed before it is told for all engines to be compared."""
     if at.rng is None or not at.policy.varies_choices:
         return False
     placed = sum(count_recent_prefills(engine, at.now) for _, engine in candidates)
-    return placed / RECENT_WINDOW_S * at.age_s / len(candidates) > MOST_UNSEEN
+    return (
+        placed / RECENT_WINDOW_S * at.age_s / len(candidates) > MAX_UNREPORTED_PREFILLS
+    )
 
 
 def _find_move(
-    candidates: list[Pair], prompt: Prompt, at: Situation
+    candidates: list[Pair], prompt: Prompt, at: PlanningContext
 ) -> CacheTransfer | None:
     if at.token_transfer_s is None or not at.policy.fetches_parts:
         return None
@@ -290,10 +298,10 @@
     readable: list[Pair],
     generating: list[Pair],
     prompt: Prompt,
-    at: Situation,
+    at: PlanningContext,
     move: CacheTransfer | None,
     is_late: bool = False,
-) -> list[Plan]:
+) -> list[RequestPlan]:
     """List the plans for a prompt whose answer is short.
 
     An engine that generates reads it only where answers beside it may pause that long,
@@ -324,15 +332,15 @@
     return plans or (local if len(hosts) == len(generating) else [])
 
 
-def _may_read_there(engine: Engine, plan: Plan, at: Situation) -> bool:
+def _may_read_there(engine: Engine, plan: RequestPlan, at: PlanningContext) -> bool:
     """Whether the answers that an engine generates bear a reading beside them."""
-    has_pauses = engine.long_answers > 0 or at.has_exposed
+    has_pauses = engine.long_answers > 0 or at.has_pause_sensitive
     if not has_pauses or not at.policy.limits_reading:
         return True
-    return may_read_beside(engine, at.now, plan.prefill_s, at.gap_s)
+    return may_prefill_beside(engine, at.now, plan.prefill_s, at.gap_s)
 
 
-def _draw_spread(at: Situation) -> float:
+def _draw_spread(at: PlanningContext) -> float:
     """Draw what a plan counts for besides its cost, seconds.
 
     Entries that know the same, and all of it late, would all choose the same engine
@@ -346,15 +354,15 @@
 def _plan_local(
     pair: Pair,
     prompt: Prompt,
-    at: Situation,
+    at: PlanningContext,
     move: CacheTransfer | None,
     is_late: bool = False,
-) -> Plan:
+) -> RequestPlan:
     """Plan to read a prompt where its answer is generated."""
     target, engine = pair
     reading = estimate_prefill(pair, prompt, at.now, move)
-    after_s = weigh_place(target, at.zone) + at.slot_wait_s
-    slowness = find_slowness(engine, at.now, at.fastest_s)
+    after_s = estimate_target_cost_s(target, at.zone) + at.slot_wait_s
+    slowness = find_event_slowdown(engine, at.now, at.fastest_s)
     spread_s = count_requests(pair) * SLOT_S * slowness
     return _make_plan(target, None, engine, reading, after_s, spread_s, at, is_late)
 
@@ -363,23 +371,23 @@
     pair: Pair,
     host: Pair,
     prompt: Prompt,
-    at: Situation,
+    at: PlanningContext,
     move: CacheTransfer | None,
     is_late: bool = False,
-) -> Plan:
+) -> RequestPlan:
     """Plan to read a prompt at one engine and to generate its answer at the host."""
     reader, engine = pair
     reading = estimate_prefill(pair, prompt, at.now, move)
-    begin_s = at.late_begin_s if is_late else at.begin_s
-    after_s = weigh_place(reader, at.zone) + max(begin_s, at.slot_wait_s)
+    handoff_s = at.late_handoff_s if is_late else at.handoff_s
+    after_s = estimate_target_cost_s(reader, at.zone) + max(handoff_s, at.slot_wait_s)
     # The host reads other prompts meanwhile, but lets a fetched one in between.
     spread_s = min(_weigh_host(host, at), MOST_END_S)
     return _make_plan(host[0], reader, engine, reading, after_s, spread_s, at, is_late)
 
 
-def _weigh_host(pair: Pair, at: Situation) -> float:
-    slowness = find_slowness(pair[1], at.now, at.fastest_s)
-    return weigh_target(pair, at.zone, slowness)
+def _weigh_host(pair: Pair, at: PlanningContext) -> float:
+    slowness = find_event_slowdown(pair[1], at.now, at.fastest_s)
+    return estimate_decode_cost_s(pair, at.zone, slowness)
 
 
 def _make_plan(
@@ -389,9 +397,9 @@
     reading: PrefillEstimate,
     after_s: float,
     spread_s: float,
-    at: Situation,
+    at: PlanningContext,
     is_late: bool,
-) -> Plan:
+) -> RequestPlan:
     """Make a plan of which all but the level and the wait is known.
 
     Args:
@@ -405,27 +413,29 @@
         is_late: Whether it can't be in time.
     """
     follows_ranks = at.policy.follows_ranks
-    level = find_level(
+    level = find_priority_level(
         reading.prefill_s, at.latency_objective_s, at.rank, follows_ranks
     )
-    if level == SHORT and at.is_long:
+    if level == SHORT_LEVEL and at.is_long:
         # Its reading holds nobody up, its answer does: it would take the slots of
         # prompts that were read and whose answers are short.
         level = find_rank_level(at.rank)
-    level = LATE if is_late else level
+    level = LATE_LEVEL if is_late else level
     wait_s = estimate_wait(engine, level, at.now)
-    first_s = wait_s + reading.seconds + after_s
+    first_event_s = wait_s + reading.seconds + after_s
     # What waits behind it counts like what it waits for itself.
-    behind_s = sum_backlog_s(engine, LATE - 1) if at.policy.counts_held_up else 0.0
+    behind_s = (
+        sum_backlog_s(engine, LATE_LEVEL - 1) if at.policy.counts_held_up else 0.0
+    )
     held_up_s = max(wait_s, behind_s)
-    return Plan(
+    return RequestPlan(
         target=target,
         reader=reader,
-        unread=reading.unread,
+        uncached_tokens=reading.uncached_tokens,
         prefill_s=reading.prefill_s,
         wait_s=wait_s,
-        first_s=first_s,
-        cost_s=first_s - wait_s + held_up_s + spread_s + reading.penalty_s,
+        first_event_s=first_event_s,
+        cost_s=first_event_s - wait_s + held_up_s + spread_s + reading.penalty_s,
         missing_share=reading.missing_share,
         holder=reading.holder,
         fetch_s=reading.fetch_s,
--- a/src/robinspindle/core/urgency.py
+++ b/src/robinspindle/core/priorities.py
@@ -6,21 +6,21 @@
 hold nobody up.
 """
 
-SHORT = 0
-FIRST_RANK = 1
-LAST_RANK = 4
-LATE = 5
+SHORT_LEVEL = 0
+FIRST_RANK_LEVEL = 1
+LAST_RANK_LEVEL = 4
+LATE_LEVEL = 5
 LEVELS = 6
 """Levels, the most urgent first: short readings, four ranks, and late ones."""
 
 SHORT_SHARE = 0.03
 """A reading that takes less than this share of its aim goes before all others."""
 
-REQUEST_URGENCIES = (1, 2, 3, 4, 5, 8)
+REQUEST_PRIORITIES = (1, 2, 3, 4, 5, 8)
 """What an engine is told for each level, 0 to 9; 5 is what it takes by itself."""
 
 
-def find_level(
+def find_priority_level(
     prefill_s: float, latency_objective_s: float, rank: int, follows_ranks: bool = True
 ) -> int:
     """Find the level of a reading that can be in time.
@@ -32,9 +32,9 @@
         follows_ranks: Whether ranks count.
     """
     if is_short(prefill_s, latency_objective_s):
-        return SHORT
+        return SHORT_LEVEL
     if not follows_ranks:
-        return FIRST_RANK
+        return FIRST_RANK_LEVEL
     return find_rank_level(rank)
 
 
@@ -45,9 +45,9 @@
 
 def find_rank_level(rank: int) -> int:
     """Find the level of the operator's rank of a route; 0 is the highest."""
-    return min(LAST_RANK, FIRST_RANK + max(0, rank))
+    return min(LAST_RANK_LEVEL, FIRST_RANK_LEVEL + max(0, rank))
 
 
-def make_levels() -> list[float]:
+def make_level_sums() -> list[float]:
     """Make sums of work by level, all of them 0."""
     return [0.0] * LEVELS
--- a/src/robinspindle/core/patience.py
+++ b/src/robinspindle/core/retrydetection.py
@@ -13,7 +13,7 @@
 
 
 @dataclass
-class Patience:
+class RetryDetector:
     """The longest patience of each route's callers.
 
     Attributes:
--- a/src/robinspindle/core/turns.py
+++ b/src/robinspindle/core/sizefairness.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass, field
 
-from robinspindle.core.sizes import find_size_class
+from robinspindle.core.sizeclasses import find_size_class
 
 LEAST_SHARE = 0.6
 """Share of its route's rate at which a class of lengths is to be served at the least.
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class Served:
+class ServedCounts:
     """Requests lately, as sums that fade.
 
     Attributes:
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class Turns:
+class SizeFairness:
     """What became of requests lately, as one entry saw it.
 
     Attributes:
@@ -50,29 +50,29 @@
         classes: By route and the most tokens of the class of length.
     """
 
-    routes: dict[str, Served] = field(default_factory=dict)
-    classes: dict[tuple[str, int], Served] = field(default_factory=dict)
+    routes: dict[str, ServedCounts] = field(default_factory=dict)
+    classes: dict[tuple[str, int], ServedCounts] = field(default_factory=dict)
 
 
-def note_asked(turns: Turns, now: float, route: str, tokens: int) -> None:
+def note_arrival(turns: SizeFairness, now: float, route: str, tokens: int) -> None:
     """Take note of a request with a prompt of so many tokens."""
     for sums in _find_sums(turns, now, route, tokens):
         sums.asked += 1.0
 
 
-def note_served(turns: Turns, now: float, route: str, tokens: int) -> None:
+def note_served(turns: SizeFairness, now: float, route: str, tokens: int) -> None:
     """Take note that a request is served."""
     for sums in _find_sums(turns, now, route, tokens):
         sums.served += 1.0
 
 
-def note_lost(turns: Turns, now: float, route: str, tokens: int) -> None:
+def note_not_served(turns: SizeFairness, now: float, route: str, tokens: int) -> None:
     """Take note that a request which counts as served was not."""
     for sums in _find_sums(turns, now, route, tokens):
         sums.served = max(0.0, sums.served - 1.0)
 
 
-def is_due(turns: Turns, now: float, route: str, tokens: int) -> bool:
+def is_underserved(turns: SizeFairness, now: float, route: str, tokens: int) -> bool:
     """Whether prompts of this length are due a turn.
 
     Args:
@@ -90,12 +90,12 @@
 
 
 def _find_sums(
-    turns: Turns, now: float, route: str, tokens: int
-) -> tuple[Served, Served]:
+    turns: SizeFairness, now: float, route: str, tokens: int
+) -> tuple[ServedCounts, ServedCounts]:
     """Find the sums of a route and of a class of its lengths, brought up to date."""
     key = (route, find_size_class(tokens))
-    of_route = turns.routes.setdefault(route, Served(at=now))
-    of_class = turns.classes.setdefault(key, Served(at=now))
+    of_route = turns.routes.setdefault(route, ServedCounts(at=now))
+    of_class = turns.classes.setdefault(key, ServedCounts(at=now))
     for sums in (of_route, of_class):
         kept = math.exp((sums.at - now) / WINDOW_S)
         sums.asked *= kept
--- a/src/robinspindle/core/watching.py
+++ b/src/robinspindle/core/watching.py
@@ -27,7 +27,7 @@
 STALL_S = 1.0
 GAP_S = 0.05
 LOST_S = 1.5
-LEAST_TRY_S = 0.05
+MIN_ATTEMPT_S = 0.05
 HARD_LIMIT_S = 120.0
 
 
@@ -41,7 +41,7 @@
     flight.may_have_run |= flight.work.repeatable
     flight.decode_target = ""
     flight.refused[flight.target] = COME_BACK_S
-    if not retries.spend(entry.budget, flight.tries, flight.due - now, LEAST_TRY_S):
+    if not retries.spend(entry.budget, flight.tries, flight.due - now, MIN_ATTEMPT_S):
         text = f"the target was lost ({reason}) and no retry is left"
         refusal = Refusal(502, "target_lost", text, tell_ran(flight), COME_BACK_S)
         return effects + give_up(entry, flight, refusal)
--- a/src/robinspindle/gateway.py
+++ b/src/robinspindle/gateway.py
@@ -16,10 +16,10 @@
 from robinspindle.cachelists import CacheLists
 from robinspindle.clocks import PauseWatch, make_loop, read_steady
 from robinspindle.core import budgets, targets
+from robinspindle.core.answerstats import AnswerStats
 from robinspindle.core.authority import Authority
 from robinspindle.core.fingerprints import Fingerprint
 from robinspindle.core.freshness import Freshness, may_serve, must_renew
-from robinspindle.core.lengths import Lengths
 from robinspindle.core.pauses import Pause
 from robinspindle.core.relays import Member, encode_member
 from robinspindle.core.targets import Directory, Target
@@ -102,7 +102,7 @@
             self._clock,
             make_log("usage"),
         )
-        self.lengths = Lengths()
+        self.lengths = AnswerStats()
         self.freshness = Freshness()
         self.guard = Guard(
             self.directory,
--- a/src/robinspindle/losses.py
+++ b/src/robinspindle/losses.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from robinspindle.core.sizes import find_size_class
+from robinspindle.core.sizeclasses import find_size_class
 from robinspindle.explaining import ENDED, ROUTED, UNDELIVERED, Line
 
 SPAN_S = 2.0
--- a/src/robinspindle/passages.py
+++ b/src/robinspindle/passages.py
@@ -5,15 +5,15 @@
 from typing import Protocol
 
 from robinspindle.core import forwarding
+from robinspindle.core.answerstats import AnswerStats
 from robinspindle.core.budgets import RepeatBudget
 from robinspindle.core.events import EventSplitter
 from robinspindle.core.fingerprints import FingerprintedRequest
-from robinspindle.core.forwarding import AnswerHead, Request, Send, Source
+from robinspindle.core.forwarding import AnswerHead, CacheSource, Request, Send
 from robinspindle.core.freshness import Freshness
-from robinspindle.core.lengths import Lengths
 from robinspindle.core.permits import OPEN, Permit
 from robinspindle.core.policy import Policy
-from robinspindle.core.reading import Plan
+from robinspindle.core.prefillplacement import RequestPlan
 from robinspindle.core.routes import STREAM, Route
 from robinspindle.fleet import Fleet
 from robinspindle.gatewaymetrics import GatewayMetrics
@@ -41,7 +41,7 @@
     def encode_request(self, request: Request, send: Send) -> bytes:
         """Write a request for a target."""
 
-    def encode_release(self, source: Source) -> bytes:
+    def encode_release(self, source: CacheSource) -> bytes:
         """Write a request that frees a prompt which was read and is not needed."""
 
     def decode_answer(
@@ -49,7 +49,7 @@
     ) -> AnswerHead:
         """Decode the head of a target's answer."""
 
-    def decode_read(self, address: str, body: bytes) -> Source:
+    def decode_read(self, address: str, body: bytes) -> CacheSource:
         """Decode the answer to a prompt that was only read."""
 
 
@@ -76,11 +76,12 @@
         fault: A target's own failure that is passed on if nothing better comes.
         last_reason: Why the latest sending did not deliver.
         is_long: Whether its answer is expected to be long.
-        has_turn: Whether prompts of its length are due a turn.
-        has_answer_turn: Whether answers of the length that its caller expects are.
+        is_prompt_underserved: Whether prompts of its length are underserved.
+        is_answer_underserved: Whether answers of the length that its caller
+            expects are underserved.
         counts_as_served: Whether it was counted as served when it was planned.
-        is_return: Whether its caller comes back after a refusal, by the time it has
-            left.
+        is_caller_retry: Whether its caller retries after a refusal, judged by the time
+            that it has left.
         plan: The latest plan, for logs.
         read_at: When its prompt had been read apart, steady seconds.
         is_counted: Whether it was counted as begun.
@@ -106,11 +107,11 @@
     fault: tuple[AnswerHead, bytes] | None = None
     last_reason: str = ""
     is_long: bool = False
-    has_turn: bool = False
-    has_answer_turn: bool = False
+    is_prompt_underserved: bool = False
+    is_answer_underserved: bool = False
     counts_as_served: bool = False
-    is_return: bool = False
-    plan: Plan | None = None
+    is_caller_retry: bool = False
+    plan: RequestPlan | None = None
     read_at: float | None = None
     is_counted: bool = False
     first_at: float | None = None
@@ -147,7 +148,7 @@
     peers: Peers
     guard: Guard
     budget: RepeatBudget
-    lengths: Lengths
+    lengths: AnswerStats
     freshness: Freshness
     book: UsageBook
     policy: Callable[[], Policy]
--- a/src/robinspindle/passing.py
+++ b/src/robinspindle/passing.py
@@ -4,19 +4,19 @@
 from dataclasses import dataclass
 
 from robinspindle.core import health, silence
-from robinspindle.core.answering import (
+from robinspindle.core.answerstats import MIN_TIMED_EVENTS
+from robinspindle.core.engines import Engine
+from robinspindle.core.events import take_events
+from robinspindle.core.forwarding import AnswerHead
+from robinspindle.core.interference import (
     find_allowed_pause,
     note_answer_begun,
     note_answer_ended,
     note_answer_event,
     note_event,
-    note_pause,
+    note_long_pause,
     note_short_pause,
 )
-from robinspindle.core.engines import Engine
-from robinspindle.core.events import take_events
-from robinspindle.core.forwarding import AnswerHead
-from robinspindle.core.lengths import LEAST_EVENTS
 from robinspindle.core.silence import ExpectedResponse
 from robinspindle.core.targets import Target
 from robinspindle.httpclient import ClientConnection, ConnectionBrokenError, Exchange
@@ -90,7 +90,7 @@
 
 def _has_pauses(means: Means, passage: Passage) -> bool:
     """Whether an answer is expected to hold enough events to pause."""
-    return passage.is_long or means.lengths.is_exposed(passage.route.name)
+    return passage.is_long or means.lengths.is_pause_sensitive(passage.route.name)
 
 
 async def _pass_prompted(
@@ -117,7 +117,7 @@
             passage.route.gap_s,
         )
         note_answer_event(engine, now)
-        note_pause(engine, pause_s, allowed_s)
+        note_long_pause(engine, pause_s, allowed_s)
         note_event(engine, now, pause_s)
 
     engine.own_long_answers += 1
@@ -141,11 +141,11 @@
         first_events: Events of it that had come before.
     """
     events = passage.splitter.events - first_events
-    if events < LEAST_EVENTS:
+    if events < MIN_TIMED_EVENTS:
         return
     now = means.clock()
     event_tokens = means.fleet.count_event_tokens(passage.service)
-    most = passage.request.prompt.out_tokens / event_tokens
+    most = passage.request.prompt.max_answer_tokens / event_tokens
     longest_s = (now - first_at) / events * most
     given_s = passage.due - passage.request.received_at
     means.lengths.note_pressure(passage.service, now, longest_s / given_s)
--- a/src/robinspindle/platform/dialect.py
+++ b/src/robinspindle/platform/dialect.py
@@ -6,12 +6,12 @@
 
 from robinspindle.core.forwarding import (
     AnswerHead,
+    CacheSource,
     Headers,
     Part,
     Prompt,
     Request,
     Send,
-    Source,
 )
 from robinspindle.core.lifetimes import find_id
 from robinspindle.exceptions import BadDocumentError
@@ -106,8 +106,8 @@
     lines += [name + b": " + value for name, value in headers]
     lines.append(b"X-Deadline-Ms: %d" % max(1, int(send.left_s * 1000)))
     lines.append(b"X-Expect-Instance: " + find_id(send.lifetime).encode())
-    lines.append(b"X-Request-Priority: %d" % send.urgency)
-    if send.read_only:
+    lines.append(b"X-Request-Priority: %d" % send.priority)
+    if send.prefill_only:
         lines.append(b"X-Stage: prefill")
     if send.holder:
         lines.append(b"Kv-Fetch: " + send.holder.encode())
@@ -148,19 +148,19 @@
     handle: str = msgspec.field(name="KvHandle")
 
 
-def decode_read(address: str, body: bytes) -> Source:
+def decode_read(address: str, body: bytes) -> CacheSource:
     """Decode the answer to a prompt that was only read.
 
     Raises:
         BadDocumentError: When it names no handle.
     """
     try:
-        return Source(address, msgspec.json.decode(body, type=_Read).handle)
+        return CacheSource(address, msgspec.json.decode(body, type=_Read).handle)
     except msgspec.MsgspecError as error:
         raise BadDocumentError(str(error)) from None
 
 
-def encode_release(source: Source) -> bytes:
+def encode_release(source: CacheSource) -> bytes:
     """Write a request that frees a prompt which was read and is not needed."""
     return (
         f"DELETE /kv-handle/{source.handle} HTTP/1.1\r\nHost: {source.address}\r\n\r\n"
@@ -228,12 +228,12 @@
     if model is None or len(counts) != 2:
         return None
     try:
-        tokens, out_tokens = (int(count) for count in counts)
+        tokens, max_answer_tokens = (int(count) for count in counts)
         expected = int(float(values.get(b"x-length-hint", b"0")))
         parts = tuple(_read_parts(values.get(b"x-prompt-prefix", b"")))
     except ValueError:
         return None
-    return Prompt(model.decode("latin-1"), parts, tokens, out_tokens, expected)
+    return Prompt(model.decode("latin-1"), parts, tokens, max_answer_tokens, expected)
 
 
 def _read_parts(value: bytes):
--- a/src/robinspindle/readingapart.py
+++ b/src/robinspindle/readingapart.py
@@ -4,8 +4,8 @@
 
 from robinspindle.calls import CallLimits, call_once
 from robinspindle.core import health
-from robinspindle.core.forwarding import AnswerHead, Source
-from robinspindle.core.reading import Plan
+from robinspindle.core.forwarding import AnswerHead, CacheSource
+from robinspindle.core.prefillplacement import RequestPlan
 from robinspindle.core.silence import (
     ExpectedResponse,
     find_first_event_timeout,
@@ -48,7 +48,7 @@
         self._log = log
         self._releases: set[asyncio.Task] = set()
 
-    async def read(self, passage: Passage, plan: Plan) -> Source | None:
+    async def read(self, passage: Passage, plan: RequestPlan) -> CacheSource | None:
         """Have a prompt read at the plan's reader; None when that failed."""
         reader = plan.reader
         engine = self._means.fleet.find_engine(reader)
@@ -77,7 +77,7 @@
             reader.in_flight -= 1
         return None
 
-    def release(self, reader: Target, source: Source) -> None:
+    def release(self, reader: Target, source: CacheSource) -> None:
         """Free a prompt that was read and will not be fetched."""
         task = asyncio.get_running_loop().create_task(self._free(reader, source))
         self._releases.add(task)
@@ -87,7 +87,7 @@
         self, passage: Passage, sending: Sending
     ) -> tuple[AnswerHead, bytes]:
         means = self._means
-        send = make_send(passage, sending, means.clock(), read_only=True)
+        send = make_send(passage, sending, means.clock(), prefill_only=True)
         exchange = Exchange(passage.request.id)
         async with (
             borrow_connection(means, sending.target) as connection,
@@ -114,9 +114,9 @@
 
         return ExpectedResponse(
             since=self._means.clock(),
-            silent_after_s=find_first_event_timeout(passage.plan.first_s),
+            silent_after_s=find_first_event_timeout(passage.plan.first_event_s),
             abandon=lambda: exchange.fail(ConnectionBrokenError("not read in time")),
-            lost_after_s=find_lost_timeout(passage.plan.first_s),
+            lost_after_s=find_lost_timeout(passage.plan.first_event_s),
             end=end,
         )
 
@@ -128,7 +128,7 @@
         text = f"prompt not read: status {head.status}"
         self._log.log_broken(passage, reader, text)
 
-    async def _free(self, reader: Target, source: Source) -> None:
+    async def _free(self, reader: Target, source: CacheSource) -> None:
         try:
             pool = self._means.fleet.find_pool(reader)
             data = self._means.dialect.encode_release(source)
--- a/src/robinspindle/readings.py
+++ b/src/robinspindle/readings.py
@@ -11,9 +11,9 @@
 )
 from robinspindle.core.peerdigests import Placement
 from robinspindle.core.prefillmodel import PrefillSample
-from robinspindle.core.reading import Plan
+from robinspindle.core.prefillplacement import RequestPlan
+from robinspindle.core.priorities import LATE_LEVEL
 from robinspindle.core.targets import Target
-from robinspindle.core.urgency import LATE
 from robinspindle.passages import Means, Passage
 from robinspindle.peers import Peers
 
@@ -28,7 +28,7 @@
     def __init__(
         self,
         engine: Engine,
-        plan: Plan,
+        plan: RequestPlan,
         tokens: int,
         now: float,
         learns: bool,
@@ -37,8 +37,8 @@
         self._engine = engine
         self._seconds = plan.prefill_s
         self._note_change = peers.changed.set
-        self._new = plan.unread
-        self._context = tokens - plan.unread
+        self._new = plan.uncached_tokens
+        self._context = tokens - plan.uncached_tokens
         self._fetch_s = plan.fetch_s
         self._wait_s = plan.wait_s
         self._began_at = now
@@ -65,7 +65,7 @@
         was_alone = self._was_alone and engine.placed == self._placed
         measured = PrefillSample(self._new, self._context, seconds)
         note_prefill_done(engine, measured, was_alone)
-        if not was_alone and self._level < LATE:
+        if not was_alone and self._level < LATE_LEVEL:
             prefill_s = estimate_prefill_s(engine, self._new, self._context)
             note_queued_prefill(engine, seconds, self._wait_s + prefill_s)
 
@@ -91,7 +91,7 @@
         self._started_at = means.clock()
 
     def begin(
-        self, passage: Passage, target: Target, engine: Engine, plan: Plan
+        self, passage: Passage, target: Target, engine: Engine, plan: RequestPlan
     ) -> Reading:
         """Take note that a target's engine is sent a prompt to read.
 
@@ -109,8 +109,8 @@
         peers = self._means.peers
         begun = Reading(engine, plan, prompt.tokens, now, learns, peers)
         note_placed(engine, prompt.parts, now + plan.wait_s + plan.prefill_s)
-        counts.labels("read").inc(plan.unread)
-        counts.labels("cached").inc(prompt.tokens - plan.unread)
+        counts.labels("read").inc(plan.uncached_tokens)
+        counts.labels("cached").inc(prompt.tokens - plan.uncached_tokens)
         told = [(part.id, part.tokens) for part in prompt.parts]
         work_ms = round(plan.prefill_s * 1000)
         placement = Placement(target.announced.lifetime, told, work_ms, plan.level)
--- a/src/robinspindle/relay.py
+++ b/src/robinspindle/relay.py
@@ -6,14 +6,15 @@
 from robinspindle import guard
 from robinspindle.choosing import Chooser
 from robinspindle.core import budgets, forwarding, health, permits, silence
-from robinspindle.core.answering import note_hold
 from robinspindle.core.engines import Engine, note_placed
 from robinspindle.core.fingerprints import FingerprintedRequest
 from robinspindle.core.forwarding import AnswerHead, Request
-from robinspindle.core.patience import Patience
+from robinspindle.core.interference import note_slot_hold
 from robinspindle.core.peerdigests import Placement
 from robinspindle.core.permits import Permit
-from robinspindle.core.reading import Plan
+from robinspindle.core.prefillplacement import RequestPlan
+from robinspindle.core.priorities import LATE_LEVEL
+from robinspindle.core.retrydetection import RetryDetector
 from robinspindle.core.routes import (
     STREAM,
     Route,
@@ -24,7 +25,6 @@
 )
 from robinspindle.core.silence import ExpectedResponse
 from robinspindle.core.targets import Target
-from robinspindle.core.urgency import LATE
 from robinspindle.crashwatch import Run
 from robinspindle.ends import End
 from robinspindle.httpclient import (
@@ -89,7 +89,7 @@
         self._apart = ReadingApart(means, self._readings, self._log)
         self._rng = random.Random()
         self.chooser = Chooser(means, self._rng)
-        self._patience = Patience()
+        self._patience = RetryDetector()
 
     @property
     def placements(self) -> list[Placement]:
@@ -112,7 +112,7 @@
             self._log.log_turned_away(passage, refusal)
             return
         budgets.count_request(self._means.budget, self._means.clock(), passage.service)
-        self.chooser.note_asked(passage, self._means.clock())
+        self.chooser.note_arrival(passage, self._means.clock())
         is_served = False
         try:
             is_served = await self._serve(passage)
@@ -158,20 +158,20 @@
             route,
             service,
             FingerprintedRequest(request),
-            forwarding.find_due(request, route),
+            forwarding.find_deadline(request, route),
             request.received_at + route.latency_objective_s - CALLER_WAY_S,
-            forwarding.find_first_due(request, route),
+            forwarding.find_first_event_deadline(request, route),
             permit,
             find_rank(table, route, service, permit.workspace),
             is_long=self.chooser.expects_long(route, service),
-            is_return=self._patience.note(route.name, request.wait_s),
+            is_caller_retry=self._patience.note(route.name, request.wait_s),
         )
 
     async def _serve(self, passage: Passage) -> bool:
         """Serve a request; returns whether its caller got the whole answer."""
         while True:
             now = self._means.clock()
-            if passage.due - now <= forwarding.LEAST_TRY_S:
+            if passage.due - now <= forwarding.MIN_ATTEMPT_S:
                 self._give_up(passage, passage.last_reason or "too-late")
                 return False
             plan = self.chooser.choose(passage, now)
@@ -180,7 +180,7 @@
                 return False
             passage.plan = plan
             self._log.log_plan(passage, plan)
-            if self.chooser.is_hopeless(passage, plan, now):
+            if self.chooser.should_refuse(passage, plan, now):
                 self._give_up(passage, "busy")
                 return False
             end = await self._carry_out(passage, plan)
@@ -200,13 +200,13 @@
             return False
         if is_barred(self._means, passage):
             return False
-        if left_s <= forwarding.LEAST_TRY_S:
+        if left_s <= forwarding.MIN_ATTEMPT_S:
             return False
         if end is End.FAULT and passage.fault[0].status < LEAST_FAULT:
             return False
         if end is End.NOT_RUN and passage.offers == 0:
-            return len(passage.tried) < forwarding.MOST_OFFERS
-        if not forwarding.may_offer_again(route, passage.offers, passage.runs):
+            return len(passage.tried) < forwarding.MAX_SENDS
+        if not forwarding.may_send_again(route, passage.offers, passage.runs):
             return False
         if budgets.take_repeat(
             self._means.budget, self._means.clock(), passage.service
@@ -217,7 +217,7 @@
         passage.last_reason += ", no repeat left"
         return False
 
-    async def _carry_out(self, passage: Passage, plan: Plan) -> End:
+    async def _carry_out(self, passage: Passage, plan: RequestPlan) -> End:
         engine = self._means.fleet.find_engine(plan.target)
         if plan.reader is None:
             if engine is not None and passage.request.prompt is not None:
@@ -241,7 +241,9 @@
             if not taken:
                 self._apart.release(plan.reader, source)
 
-    async def _send_unread(self, passage: Passage, plan: Plan, engine: Engine) -> End:
+    async def _send_unread(
+        self, passage: Passage, plan: RequestPlan, engine: Engine
+    ) -> End:
         work = self._readings.begin(passage, plan.target, engine, plan)
         clock = self._means.clock
         try:
@@ -283,7 +285,7 @@
     def _note_hold(self, passage: Passage, target: Target) -> None:
         engine = self._means.fleet.find_engine(target)
         if engine is not None and passage.first_at is not None:
-            note_hold(engine, self._means.clock() - passage.first_at)
+            note_slot_hold(engine, self._means.clock() - passage.first_at)
 
     async def _exchange(
         self,
@@ -301,7 +303,7 @@
         data = means.dialect.encode_request(passage.request, send)
         passage.offers += 1
         with expect(target, self._expect_answer(passage, exchange)) as expected:
-            left_s = passage.due + forwarding.ANSWER_GRACE_S - means.clock()
+            left_s = passage.due + forwarding.TIMEOUT_ANSWER_GRACE_S - means.clock()
             async with asyncio.timeout(left_s):
                 sent_at = means.clock()
                 connection.send(exchange, data)
@@ -324,8 +326,8 @@
     def _note_begun(self, passage: Passage, sending: Sending) -> None:
         if sending.source is not None and passage.read_at is not None:
             now, seconds = passage.first_at, passage.first_at - passage.read_at
-            is_late = passage.plan.level == LATE
-            self._means.lengths.note_begun(passage.service, now, seconds, is_late)
+            is_late = passage.plan.level == LATE_LEVEL
+            self._means.lengths.note_handoff(passage.service, now, seconds, is_late)
 
     def _count_begun(self, passage: Passage, sent_at: float) -> None:
         """Count a request that began to run, for the workspace whose key it carries.
@@ -353,9 +355,9 @@
         may_leave = route.may_rerun and passage.runs + 1 < route.attempts
         return ExpectedResponse(
             since=self._means.clock(),
-            silent_after_s=silence.find_first_event_timeout(passage.plan.first_s),
+            silent_after_s=silence.find_first_event_timeout(passage.plan.first_event_s),
             abandon=leave if may_leave else None,
-            lost_after_s=silence.find_lost_timeout(passage.plan.first_s),
+            lost_after_s=silence.find_lost_timeout(passage.plan.first_event_s),
             end=end,
         )
 
@@ -412,12 +414,12 @@
             self._log.log_end(passage, None, f"passed on: {reason}")
             return
         if passage.runs:
-            refusal = forwarding.refuse_unsure(left_s)
+            refusal = forwarding.refuse_unknown_outcome(left_s)
         elif is_barred(self._means, passage):
             refusal, reason = forwarding.UNKNOWN_KEY, forwarding.UNKNOWN_KEY.reason
         else:
             retry_s = self._find_retry_s(passage)
-            refusal = forwarding.refuse_unrun(reason, retry_s, left_s)
+            refusal = forwarding.refuse_not_run(reason, retry_s, left_s)
         reply.refuse(refusal)
         self._log.log_end(passage, None, f"refused {refusal.status}: {reason}")
 
@@ -427,7 +429,7 @@
         if passage.plan is None:
             return spread_s
         left_s = passage.first_due - self._means.clock()
-        late_s = max(0.0, passage.plan.first_s - left_s)
+        late_s = max(0.0, passage.plan.first_event_s - left_s)
         return spread_s + max(late_s, passage.plan.slot_wait_s)
 
     def _may_pass_fault(self, passage: Passage) -> bool:
--- a/src/robinspindle/relaylogs.py
+++ b/src/robinspindle/relaylogs.py
@@ -1,9 +1,9 @@
 """The log lines and the counts that tell how requests went."""
 
-from robinspindle.core.answering import find_read_share
 from robinspindle.core.forwarding import Refusal, Request
-from robinspindle.core.reading import Plan
-from robinspindle.core.sizes import find_size_class
+from robinspindle.core.interference import find_prefill_share
+from robinspindle.core.prefillplacement import RequestPlan
+from robinspindle.core.sizeclasses import find_size_class
 from robinspindle.core.targets import Target
 from robinspindle.passages import Means, Passage
 from robinspindle.peers import find_oldest_s
@@ -26,7 +26,7 @@
             fingerprint=passage.named.head_hash.hex(),
         )
 
-    def log_plan(self, passage: Passage, plan: Plan) -> None:
+    def log_plan(self, passage: Passage, plan: RequestPlan) -> None:
         """Log where a request is sent."""
         directory = self._means.fleet.directory
         prompt = passage.request.prompt
@@ -44,17 +44,17 @@
             in_flight=plan.target.in_flight,
             faults=round(plan.target.faults, 2),
             wait_ms=round(plan.wait_s * 1000, 1),
-            first_ms=round(plan.first_s * 1000, 1),
-            unread=plan.unread,
+            first_ms=round(plan.first_event_s * 1000, 1),
+            unread=plan.uncached_tokens,
             reading_ms=round(plan.prefill_s * 1000, 1),
             level=plan.level,
             slot_wait_ms=round(plan.slot_wait_s * 1000, 1),
-            has_turn=passage.has_turn,
-            has_answer_turn=passage.has_answer_turn,
+            has_turn=passage.is_prompt_underserved,
+            has_answer_turn=passage.is_answer_underserved,
             is_long=passage.is_long,
             read_share=self._find_read_share(plan),
             prompt_length=prompt.tokens if prompt else None,
-            answer_most=prompt.out_tokens if prompt else None,
+            answer_most=prompt.max_answer_tokens if prompt else None,
             left_ms=round((passage.aim_at - now) * 1000, 1),
             due_ms=round((passage.due - now) * 1000, 1),
             list_age_ms=round((now - directory.read_at) * 1000),
@@ -63,10 +63,10 @@
             store_away=directory.unavailable_since is not None,
         )
 
-    def _find_read_share(self, plan: Plan) -> float | None:
+    def _find_read_share(self, plan: RequestPlan) -> float | None:
         """Find with what share of its pace a plan's host may read; None if plain."""
         engine = self._means.fleet.find_engine(plan.target)
-        return None if engine is None else round(find_read_share(engine), 2)
+        return None if engine is None else round(find_prefill_share(engine), 2)
 
     def log_end(self, passage: Passage, target: Target | None, outcome: str) -> None:
         """Log and count how a request ended.
@@ -87,16 +87,16 @@
             route=passage.route.name,
             target=target.announced.lifetime if target else "",
             reader=plan.reader.announced.lifetime if plan and plan.reader else "",
-            planned_ms=round(plan.first_s * 1000, 1) if plan else None,
+            planned_ms=round(plan.first_event_s * 1000, 1) if plan else None,
             wait_ms=round(plan.wait_s * 1000, 1) if plan else None,
-            unread=plan.unread if plan else None,
+            unread=plan.uncached_tokens if plan else None,
             level=plan.level if plan else None,
             prompt_length=prompt.tokens if prompt else None,
             reading_ms=round(plan.prefill_s * 1000, 1) if plan else None,
             missing_share=round(plan.missing_share, 2) if plan else None,
             aim_ms=round(passage.route.latency_objective_s * 1000),
             gap_ms=round(passage.route.gap_s * 1000) if passage.is_stream else None,
-            is_return=passage.is_return,
+            is_return=passage.is_caller_retry,
             offers=passage.offers,
             events=passage.splitter.events,
             read_ms=_find_ms_since(passage, passage.read_at),
--- a/src/robinspindle/replies.py
+++ b/src/robinspindle/replies.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 from typing import Protocol
 
-from robinspindle.core.forwarding import Headers, Refusal, write_retry_after
+from robinspindle.core.forwarding import Headers, Refusal, format_retry_after
 
 
 class Outlet(Protocol):
@@ -98,7 +98,7 @@
         """Write a whole answer of our own."""
         headers = []
         if refusal.retry_s > 0:
-            headers.append((b"Retry-After", write_retry_after(refusal.retry_s)))
+            headers.append((b"Retry-After", format_retry_after(refusal.retry_s)))
         if refusal.status == HTTPStatus.UNAUTHORIZED:
             headers.append((b"WWW-Authenticate", b"Bearer"))
         reason = HTTPStatus(refusal.status).phrase.encode()
--- a/src/robinspindle/sending.py
+++ b/src/robinspindle/sending.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 
 from robinspindle.core import health, permits
-from robinspindle.core.forwarding import AnswerHead, Send, Source
+from robinspindle.core.forwarding import AnswerHead, CacheSource, Send
 from robinspindle.core.lifetimes import find_id
+from robinspindle.core.priorities import LATE_LEVEL, REQUEST_PRIORITIES, find_rank_level
 from robinspindle.core.silence import ExpectedResponse
 from robinspindle.core.targets import Target
-from robinspindle.core.urgency import LATE, REQUEST_URGENCIES, find_rank_level
 from robinspindle.httpclient import (
     ClientConnection,
     ConnectionBrokenError,
@@ -42,7 +42,7 @@
     """
 
     target: Target
-    source: Source | None = None
+    source: CacheSource | None = None
     holder: Target | None = None
     on_first: Callable[[], None] = do_nothing
 
@@ -66,7 +66,7 @@
 
 
 def make_send(
-    passage: Passage, sending: Sending, now: float, read_only: bool = False
+    passage: Passage, sending: Sending, now: float, prefill_only: bool = False
 ) -> Send:
     """Make what a target is told besides the request itself.
 
@@ -74,18 +74,18 @@
         passage: The request.
         sending: Where it is sent, and where its prompt is.
         now: The present time, steady seconds.
-        read_only: Whether only its prompt is to be read.
+        prefill_only: Whether only its prompt is to be read.
     """
     prompt = passage.request.prompt
     urgency = min(LEAST_URGENCY, passage.rank)
     if prompt is not None:
-        urgency = REQUEST_URGENCIES[_find_level(passage, sending)]
+        urgency = REQUEST_PRIORITIES[_find_level(passage, sending)]
     events = passage.splitter.events
     return Send(
         lifetime=sending.target.announced.lifetime,
         left_s=passage.due - now,
-        urgency=urgency,
-        read_only=read_only,
+        priority=urgency,
+        prefill_only=prefill_only,
         source=sending.source,
         holder=sending.holder.announced.address if sending.holder else "",
         resume_after=passage.splitter.last_id if events else None,
@@ -94,7 +94,7 @@
 
 def _find_level(passage: Passage, sending: Sending) -> int:
     """Find how urgent a sending is: what was read already waits behind nothing late."""
-    if sending.source is not None and passage.plan.level == LATE:
+    if sending.source is not None and passage.plan.level == LATE_LEVEL:
         return find_rank_level(passage.rank)
     return passage.plan.level
 
--- a/tests/core/generationplay.py
+++ b/tests/core/generationplay.py
@@ -11,30 +11,30 @@
 
 import simpy
 
-from robinspindle.core.answering import (
+from robinspindle.core.answerstats import MIN_PAUSE_SENSITIVE_EVENTS, AnswerStats
+from robinspindle.core.decodeplacement import (
+    choose_decode_target,
+    find_longest_answer_event_s,
+    find_max_event_s,
+)
+from robinspindle.core.interference import (
     find_allowed_pause,
     note_answer_begun,
     note_answer_ended,
     note_answer_event,
     note_event,
-    note_hold,
-    note_pause,
+    note_long_pause,
     note_short_pause,
+    note_slot_hold,
 )
-from robinspindle.core.hosting import (
-    choose_host,
-    find_longest_event_s,
-    find_most_event_s,
-)
-from robinspindle.core.lengths import EXPOSED_EVENTS, Lengths
-from robinspindle.core.turns import (
-    Turns,
-    is_due,
-    note_asked,
-    note_lost,
+from robinspindle.core.priorities import LATE_LEVEL, REQUEST_PRIORITIES, find_rank_level
+from robinspindle.core.sizefairness import (
+    SizeFairness,
+    is_underserved,
+    note_arrival,
+    note_not_served,
     note_served,
 )
-from robinspindle.core.urgency import LATE, REQUEST_URGENCIES, find_rank_level
 from soak.sizeaccount import Ended, SizeAccount
 from standins.prompts import Kind, Length
 from tests.core.loadplay import Load, Outcome, _Play
@@ -157,8 +157,8 @@
             for name in self.names
         }
         for gateway in self.gateways:
-            gateway.lengths = Lengths()
-            gateway.answer_turns = Turns()
+            gateway.lengths = AnswerStats()
+            gateway.answer_turns = SizeFairness()
 
     def _make_gateway(self):
         gateway = super()._make_gateway()
@@ -189,40 +189,42 @@
         return replace(
             prompt,
             model=str(events),
-            out_tokens=round(answers.events.most * tokens),
-            expected_tokens=max(1, round(guess * tokens)),
+            max_answer_tokens=round(answers.events.most * tokens),
+            expected_answer_tokens=max(1, round(guess * tokens)),
         )
 
     def _describe(self, gateway, kind, prompt):
         lengths, route = gateway.lengths, kind.name
         limit_s = self.load.answers[route].limit_s
-        asked = route, prompt.expected_tokens
-        note_asked(gateway.answer_turns, self.env.now, *asked)
+        asked = route, prompt.expected_answer_tokens
+        note_arrival(gateway.answer_turns, self.env.now, *asked)
         at = super()._describe(gateway, kind, prompt)
         return replace(
             at,
             gap_s=self.load.answers[route].gap_s,
             is_long=lengths.is_long(route, SERVICE),
-            has_exposed=lengths.has_exposed(SERVICE),
-            begin_s=lengths.find_begin_s(SERVICE, self.env.now),
-            most_event_s=find_most_event_s(
+            has_pause_sensitive=lengths.has_pause_sensitive(SERVICE),
+            handoff_s=lengths.find_handoff_s(SERVICE, self.env.now),
+            max_event_s=find_max_event_s(
                 prompt,
                 self.load.making.event_tokens,
                 limit_s,
             ),
-            longest_event_s=find_longest_event_s(
+            longest_answer_event_s=find_longest_answer_event_s(
                 prompt,
                 self.load.making.event_tokens,
                 lengths.events.get(route, 0.0),
                 limit_s,
                 self.load.answers[route].gap_s,
             ),
-            has_answer_turn=is_due(gateway.answer_turns, self.env.now, *asked),
-            late_begin_s=lengths.find_begin_s(SERVICE, self.env.now, True),
+            is_answer_underserved=is_underserved(
+                gateway.answer_turns, self.env.now, *asked
+            ),
+            late_handoff_s=lengths.find_handoff_s(SERVICE, self.env.now, True),
         )
 
     def _note_expected(self, gateway, kind, prompt):
-        events = prompt.expected_tokens / self.load.making.event_tokens
+        events = prompt.expected_answer_tokens / self.load.making.event_tokens
         gateway.lengths.note_expected(kind.name, SERVICE, events)
 
     def _tell_answers(self):
@@ -251,9 +253,9 @@
         is_long = gateway.lengths.is_long(kind.name, SERVICE)
         target = plan.target
         if plan.reader is not None:
-            target = choose_host(
+            target = choose_decode_target(
                 gateway.pairs, "a", env.now, self.load.news_s, self.rng,
-                gateway.lengths.has_exposed(SERVICE),
+                gateway.lengths.has_pause_sensitive(SERVICE),
             )  # fmt: skip
             yield env.timeout(self.load.way_s / 2 + 0.002)
         name = target.announced.lifetime
@@ -261,29 +263,29 @@
         target.in_flight += 1
         engine.own_long_answers += is_long
         level = plan.level
-        if plan.reader is not None and level == LATE:
+        if plan.reader is not None and level == LATE_LEVEL:
             level = find_rank_level(kind.rank)
         events = yield from self._generate(
-            name, engine, kind, prompt, REQUEST_URGENCIES[level], came_at,
+            name, engine, kind, prompt, REQUEST_PRIORITIES[level], came_at,
             self._make_note(engine, kind, prompt, is_long, came_at),
         )  # fmt: skip
         engine.own_long_answers -= is_long
         target.in_flight -= 1
         if plan.reader is not None and events.first_at is not None:
             seconds = events.first_at - read_at
-            is_late = plan.level == LATE
-            gateway.lengths.note_begun(SERVICE, env.now, seconds, is_late)
+            is_late = plan.level == LATE_LEVEL
+            gateway.lengths.note_handoff(SERVICE, env.now, seconds, is_late)
         if events.first_at is not None:
-            note_hold(engine, env.now - events.first_at)
+            note_slot_hold(engine, env.now - events.first_at)
         if events.first_at is not None and events.made > 1:
             seconds = env.now - events.first_at
             gateway.lengths.note_answer(SERVICE, events.made, seconds)
-        counts = plan.level < LATE
+        counts = plan.level < LATE_LEVEL
         if counts != events.is_whole:
-            note = note_served if events.is_whole else note_lost
+            note = note_served if events.is_whole else note_not_served
             note(gateway.turns, env.now, kind.name, prompt.tokens)
         if events.is_whole:
-            asked = kind.name, prompt.expected_tokens
+            asked = kind.name, prompt.expected_answer_tokens
             note_served(gateway.answer_turns, env.now, *asked)
         self._note_answer(kind, prompt, events, came_at, answers)
 
@@ -293,14 +295,14 @@
 
         def note(pause_s, made):
             if not is_long:
-                if answers.events.mean < EXPOSED_EVENTS:
+                if answers.events.mean < MIN_PAUSE_SENSITIVE_EVENTS:
                     return
                 note_short_pause(engine, pause_s, answers.gap_s)
                 note_event(engine, self.env.now, pause_s)
                 return
             left_s = came_at + answers.limit_s - self.env.now
             allowed = find_allowed_pause(prompt, made, tokens, left_s, answers.gap_s)
-            note_pause(engine, pause_s, allowed)
+            note_long_pause(engine, pause_s, allowed)
             note_event(engine, self.env.now, pause_s)
 
         return note
@@ -316,7 +318,7 @@
             if not slot.triggered:
                 return made
             host.answers += 1
-            has_pauses = answers.events.mean >= EXPOSED_EVENTS
+            has_pauses = answers.events.mean >= MIN_PAUSE_SENSITIVE_EVENTS
             host.read_s += self.load.making.begin_s
             last_at, total = env.now, int(prompt.model)
             while made.made < total:
--- a/tests/core/loadplay.py
+++ b/tests/core/loadplay.py
@@ -11,6 +11,7 @@
 
 import simpy
 
+from robinspindle.core.decodeplacement import choose_decode_target
 from robinspindle.core.engines import (
     count_cached,
     estimate_prefill_s,
@@ -22,16 +23,21 @@
     note_queued_prefill,
 )
 from robinspindle.core.forwarding import Part, Prompt
-from robinspindle.core.hosting import choose_host
 from robinspindle.core.prefillmodel import PrefillSample, make_prefill_model
-from robinspindle.core.reading import (
-    Situation,
+from robinspindle.core.prefillplacement import (
+    PlanningContext,
     choose_plan,
-    is_hopeless,
+    should_refuse,
+)
+from robinspindle.core.priorities import LATE_LEVEL, REQUEST_PRIORITIES
+from robinspindle.core.sizefairness import (
+    SizeFairness,
+    is_underserved,
+    note_arrival,
+    note_not_served,
+    note_served,
 )
 from robinspindle.core.targets import Announcement, Target
-from robinspindle.core.turns import Turns, is_due, note_asked, note_lost, note_served
-from robinspindle.core.urgency import LATE, REQUEST_URGENCIES
 from soak.sizeaccount import Ended
 from standins.prompts import SKEW, Kind, Length, draw_parts
 
@@ -114,7 +120,7 @@
     """One gateway's beliefs: the target and the engine of each lifetime."""
 
     pairs: list
-    turns: Turns = field(default_factory=Turns)
+    turns: SizeFairness = field(default_factory=SizeFairness)
 
 
 def play(load: Load, seed: int = 1) -> Outcome:
@@ -202,9 +208,10 @@
 
     def _describe(self, gateway, kind, prompt):
         """Describe what a choice depends on besides the engines."""
-        return Situation(
+        return PlanningContext(
             self.env.now, kind.latency_objective_s, kind.latency_objective_s, 0.15, "a",
-            rank=kind.rank, has_exposed=False, begin_s=0.01, late_begin_s=0.01,
+            rank=kind.rank, has_pause_sensitive=False, handoff_s=0.01,
+            late_handoff_s=0.01,
             token_transfer_s=1.2e-7, age_s=self.load.news_s, rng=self.rng,
         )  # fmt: skip
 
@@ -219,14 +226,18 @@
         prompt = self._make_prompt(kind)
         at = self._describe(gateway, kind, prompt)
         turns, asked = gateway.turns, (kind.name, prompt.tokens)
-        note_asked(turns, env.now, *asked)
-        at = replace(at, has_turn=load.gives_turns and is_due(turns, env.now, *asked))
+        note_arrival(turns, env.now, *asked)
+        at = replace(
+            at,
+            is_prompt_underserved=load.gives_turns
+            and is_underserved(turns, env.now, *asked),
+        )
         plan = choose_plan(gateway.pairs, prompt, at)
         most_slot_wait_s = self._find_most_slot_wait_s(kind)
-        if is_hopeless(plan, kind.patience_s, most_slot_wait_s=most_slot_wait_s):
+        if should_refuse(plan, kind.patience_s, most_slot_wait_s=most_slot_wait_s):
             self._note_end(kind, prompt, None)
             return
-        if plan.level < LATE:
+        if plan.level < LATE_LEVEL:
             note_served(turns, env.now, *asked)
         engines = {t.announced.lifetime: e for t, e in gateway.pairs}
         where = (plan.reader or plan.target).announced.lifetime
@@ -242,12 +253,12 @@
         engine.own_backlog_s[plan.level] = max(0.0, left)
         outcome.believed_s += plan.prefill_s
         seconds = env.now - came_at - plan.fetch_s
-        context = prompt.tokens - plan.unread
-        measured = PrefillSample(plan.unread, context, seconds)
+        context = prompt.tokens - plan.uncached_tokens
+        measured = PrefillSample(plan.uncached_tokens, context, seconds)
         was_alone = alone and engine.placed == placed
         note_prefill_done(engine, measured, was_alone)
-        if not was_alone and plan.level < LATE:
-            prefill_s = estimate_prefill_s(engine, plan.unread, context)
+        if not was_alone and plan.level < LATE_LEVEL:
+            prefill_s = estimate_prefill_s(engine, plan.uncached_tokens, context)
             note_queued_prefill(engine, seconds, plan.wait_s + prefill_s)
         yield from self._answer(gateway, kind, prompt, plan, came_at)
 
@@ -255,19 +266,21 @@
         """Begin the answer to a prompt that was read; the rest of it counts nothing."""
         env = self.env
         if plan.reader is not None:
-            host = choose_host(gateway.pairs, "a", env.now, self.load.news_s, self.rng)
+            host = choose_decode_target(
+                gateway.pairs, "a", env.now, self.load.news_s, self.rng
+            )
             host.in_flight += 1
             yield env.timeout(self.load.way_s / 2 + 0.002)
             host.in_flight -= 1
         is_served = env.now - came_at <= kind.patience_s
-        if is_served != (plan.level < LATE):
-            note = note_served if is_served else note_lost
+        if is_served != (plan.level < LATE_LEVEL):
+            note = note_served if is_served else note_not_served
             note(gateway.turns, env.now, kind.name, prompt.tokens)
         self._note_end(kind, prompt, env.now - came_at)
 
     def _read(self, where, prompt, plan, gives_up_at):
         """Have an engine read what neither its real cache nor the holder's has."""
-        urgency = REQUEST_URGENCIES[plan.level]
+        urgency = REQUEST_PRIORITIES[plan.level]
         env, held = self.env, self.held[where]
         yield env.timeout(self.load.way_s / 2)
         with self.servers[where].request(priority=urgency) as turn:
--- a/tests/core/test_engines.py
+++ b/tests/core/test_engines.py
@@ -6,7 +6,7 @@
 from robinspindle.core.engines import make_engine
 from robinspindle.core.forwarding import Part, Prompt
 from robinspindle.core.prefillmodel import PrefillSample
-from robinspindle.core.urgency import LATE
+from robinspindle.core.priorities import LATE_LEVEL
 
 
 def make_prompt(*parts, out=2):
@@ -50,19 +50,19 @@
     engine = make_engine(True, 10_000)
     engine.own_backlog_s[2] = 0.5
     engines.note_peer_backlog(engine, "g2", [0.0, 0.0, 0.1, 0.0, 0.0, 0.4])
-    waits = [engines.estimate_wait(engine, level, 0.0) for level in range(LATE)]
+    waits = [engines.estimate_wait(engine, level, 0.0) for level in range(LATE_LEVEL)]
     assert waits == [0.0, 0.0, 0.6, 0.6, 0.6]
-    assert engines.estimate_wait(engine, LATE, 0.0) == 1.0
+    assert engines.estimate_wait(engine, LATE_LEVEL, 0.0) == 1.0
 
 
 def test_what_is_late_also_waits_for_what_will_come_meanwhile():
     engine = make_engine(True, 10_000)
-    engine.own_backlog_s[LATE] = 0.2
+    engine.own_backlog_s[LATE_LEVEL] = 0.2
     for step in range(5):
         engines.note_prefill_start(engine, step * 0.1, 0.1, 1)
-        engines.note_prefill_start(engine, step * 0.1, 0.1, LATE)
-    assert engines.estimate_wait(engine, LATE, 0.5) == pytest.approx(0.4)
-    assert engines.estimate_wait(engine, LATE, 5.0) == pytest.approx(0.2)
+        engines.note_prefill_start(engine, step * 0.1, 0.1, LATE_LEVEL)
+    assert engines.estimate_wait(engine, LATE_LEVEL, 0.5) == pytest.approx(0.4)
+    assert engines.estimate_wait(engine, LATE_LEVEL, 5.0) == pytest.approx(0.2)
 
 
 def test_an_engine_that_takes_longer_than_its_service_is_known_after_a_few_readings():
--- a/tests/core/test_answering.py
+++ b/tests/core/test_interference.py
@@ -1,4 +1,4 @@
-from robinspindle.core import answering, engines
+from robinspindle.core import engines, interference
 from robinspindle.core.engines import make_engine
 from robinspindle.core.forwarding import Part, Prompt
 
@@ -6,20 +6,20 @@
 def test_beside_answers_an_engine_reads_only_a_share_of_their_pauses():
     engine = make_engine(False, 100_000)
     allowed_s = engines.SHORT_PREFILL_SHARE * 0.2
-    assert answering.may_read_beside(engine, 0.0, allowed_s, 0.2)
-    assert not answering.may_read_beside(engine, 0.0, allowed_s * 1.01, 0.2)
+    assert interference.may_prefill_beside(engine, 0.0, allowed_s, 0.2)
+    assert not interference.may_prefill_beside(engine, 0.0, allowed_s * 1.01, 0.2)
     engine.peers_long_answers["g2"] = 1
-    assert not answering.may_read_beside(engine, 0.0, allowed_s, 0.2)
+    assert not interference.may_prefill_beside(engine, 0.0, allowed_s, 0.2)
     allowed_s = engine.prefill_share * 0.2
-    assert answering.may_read_beside(engine, 0.0, allowed_s, 0.2)
+    assert interference.may_prefill_beside(engine, 0.0, allowed_s, 0.2)
     engines.note_prefill_start(engine, 0.0, allowed_s, 1)
-    assert not answering.may_read_beside(engine, 0.1, 0.01, 0.2)
-    assert answering.may_read_beside(engine, 0.3, 0.01, 0.2)
+    assert not interference.may_prefill_beside(engine, 0.1, 0.01, 0.2)
+    assert interference.may_prefill_beside(engine, 0.3, 0.01, 0.2)
 
 
 def test_an_answer_that_would_not_end_in_time_makes_pauses_count_sooner():
     prompt = Prompt("m", (Part("q", 200),), 200, 12_000, 5_900)
-    allowed = answering.find_allowed_pause
+    allowed = interference.find_allowed_pause
     assert allowed(prompt, 0, 59, 15.0, 0.15) == 0.15
     assert allowed(prompt, 0, 59, 5.0, 0.15) == 0.05
     assert allowed(prompt, 50, 59, 2.5, 0.15) == 0.05
@@ -31,26 +31,26 @@
 def test_late_events_make_an_engine_read_less_and_good_ones_more():
     engine = make_engine(False, 100_000)
     before = engine.prefill_share
-    answering.note_pause(engine, 0.14, 0.15)
+    interference.note_long_pause(engine, 0.14, 0.15)
     assert engine.prefill_share < before
     for _ in range(200):
-        answering.note_pause(engine, 0.02, 0.15)
-    assert engine.prefill_share == answering.READ_SHARES[1]
+        interference.note_long_pause(engine, 0.02, 0.15)
+    assert engine.prefill_share == interference.PREFILL_SHARE_BOUNDS[1]
     for _ in range(200):
-        answering.note_pause(engine, 0.5, 0.15)
-    assert engine.prefill_share == answering.READ_SHARES[0]
+        interference.note_long_pause(engine, 0.5, 0.15)
+    assert engine.prefill_share == interference.PREFILL_SHARE_BOUNDS[0]
 
 
 def test_what_is_read_beside_short_answers_follows_their_pauses():
     """Of answers 0.20 paused with a fixed share at the usual load, 0.12 with this."""
     engine = make_engine(False, 100_000)
-    assert answering.may_read_beside(engine, 1.0, 0.08, 0.15)
-    answering.note_short_pause(engine, 0.14, 0.15)
+    assert interference.may_prefill_beside(engine, 1.0, 0.08, 0.15)
+    interference.note_short_pause(engine, 0.14, 0.15)
     for _ in range(4):
-        answering.note_short_pause(engine, 0.2, 0.15)
-    assert not answering.may_read_beside(engine, 1.0, 0.08, 0.15)
+        interference.note_short_pause(engine, 0.2, 0.15)
+    assert not interference.may_prefill_beside(engine, 1.0, 0.08, 0.15)
     for _ in range(100):
-        answering.note_short_pause(engine, 0.05, 0.15)
+        interference.note_short_pause(engine, 0.05, 0.15)
     assert engine.short_prefill_share == engines.SHORT_PREFILL_SHARE
 
 
@@ -58,14 +58,14 @@
     """A pause is seen when it ends: an engine three times as slow as believed read
     without end, and its answers never got another event."""
     engine = make_engine(False, 100_000)
-    answering.note_answer_begun(engine, 1.0)
-    assert answering.may_read_beside(engine, 1.05, 0.01, 0.15)
-    assert not answering.may_read_beside(engine, 1.2, 0.01, 0.15)
+    interference.note_answer_begun(engine, 1.0)
+    assert interference.may_prefill_beside(engine, 1.05, 0.01, 0.15)
+    assert not interference.may_prefill_beside(engine, 1.2, 0.01, 0.15)
     # One more that begins does not hide that the first gets nothing.
-    answering.note_answer_begun(engine, 1.19)
-    assert not answering.may_read_beside(engine, 1.2, 0.01, 0.15)
-    answering.note_answer_event(engine, 1.2)
-    assert answering.may_read_beside(engine, 1.21, 0.01, 0.15)
-    answering.note_answer_ended(engine)
-    answering.note_answer_ended(engine)
-    assert answering.find_open_pause(engine, 9.0) == 0.0
+    interference.note_answer_begun(engine, 1.19)
+    assert not interference.may_prefill_beside(engine, 1.2, 0.01, 0.15)
+    interference.note_answer_event(engine, 1.2)
+    assert interference.may_prefill_beside(engine, 1.21, 0.01, 0.15)
+    interference.note_answer_ended(engine)
+    interference.note_answer_ended(engine)
+    assert interference.find_current_pause(engine, 9.0) == 0.0
--- a/tests/core/test_loadplay.py
+++ b/tests/core/test_loadplay.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from robinspindle.core import estimates, reading
+from robinspindle.core import estimates, prefillplacement
 from robinspindle.core.engines import note_unqueued_prefill
 from tests.core import loadplay
 from tests.core.loadplay import Load, play
@@ -27,7 +27,7 @@
 def test_with_old_beliefs_two_engines_are_compared(monkeypatch, per_s, before, least):
     """In time with all compared and with two: 0.850 and 0.961, 0.693 and 0.887."""
     assert share_in_time(per_s) > least
-    monkeypatch.setattr(reading, "MOST_UNSEEN", 1e9)
+    monkeypatch.setattr(prefillplacement, "MAX_UNREPORTED_PREFILLS", 1e9)
     assert share_in_time(per_s) == pytest.approx(before, abs=0.005)
 
 
--- a/tests/core/test_reading.py
+++ b/tests/core/test_prefillplacement.py
@@ -1,18 +1,18 @@
 import dataclasses
 import random
 
-from robinspindle.core import answering, engines, reading
+from robinspindle.core import engines, interference, prefillplacement
 from robinspindle.core.engines import make_engine
 from robinspindle.core.forwarding import Part, Prompt
 from robinspindle.core.prefillmodel import PrefillModel
-from robinspindle.core.reading import Situation, choose_plan
+from robinspindle.core.prefillplacement import PlanningContext, choose_plan
+from robinspindle.core.priorities import LATE_LEVEL, SHORT_LEVEL, find_rank_level
 from robinspindle.core.targets import Announcement, Target
-from robinspindle.core.urgency import LATE, SHORT, find_rank_level
 
 HEAD, DOCUMENT, OWN = Part("h", 2500), Part("d", 3800), Part("o", 2900)
 DIGEST = Prompt("m", (HEAD, DOCUMENT, OWN), 9200, 118)
 CHAT = Prompt("m", (Part("c", 80), Part("q", 140)), 220, 5000)
-CALM = Situation(0.0, 0.2, 0.2, 0.15, "a")
+CALM = PlanningContext(0.0, 0.2, 0.2, 0.15, "a")
 PATIENCE_S = 2.0
 LONG = dataclasses.replace(CALM, is_long=True)
 LINKED = dataclasses.replace(CALM, token_transfer_s=1.2e-7)
@@ -51,7 +51,7 @@
     fleet = make_fleet()
     engines.note_placed(fleet[1][1], DIGEST.parts[:2])
     plan = choose_plan(fleet, DIGEST, CALM)
-    assert (name(plan.reader), plan.unread) == ("p2", 2900)
+    assert (name(plan.reader), plan.uncached_tokens) == ("p2", 2900)
 
 
 def test_it_goes_elsewhere_when_it_would_be_late_there():
@@ -118,30 +118,30 @@
 def test_what_can_be_in_time_waits_for_nothing_that_is_late():
     fleet = [make_pair("p1", "prefill"), make_pair("d1", "decode")]
     for _, engine in fleet:
-        engine.own_backlog_s[LATE] = 5.0
+        engine.own_backlog_s[LATE_LEVEL] = 5.0
     plan = choose_plan(fleet, DIGEST, CALM)
-    assert plan.level < LATE
-    assert plan.first_s < 0.1
+    assert plan.level < LATE_LEVEL
+    assert plan.first_event_s < 0.1
 
 
 def test_what_can_not_be_in_time_goes_after_all_that_can():
     plan = plan_behind(0.5)
-    assert plan.level == LATE
+    assert plan.level == LATE_LEVEL
     assert plan.wait_s >= 0.5
-    assert not reading.is_hopeless(plan, PATIENCE_S)
+    assert not prefillplacement.should_refuse(plan, PATIENCE_S)
 
 
 def test_what_would_begin_after_its_caller_gave_up_is_hopeless():
-    assert reading.is_hopeless(plan_behind(1.7), PATIENCE_S)
-    assert not reading.is_hopeless(plan_behind(1.4), PATIENCE_S)
-    assert reading.is_hopeless(plan_behind(0.5), 0.5)
+    assert prefillplacement.should_refuse(plan_behind(1.7), PATIENCE_S)
+    assert not prefillplacement.should_refuse(plan_behind(1.4), PATIENCE_S)
+    assert prefillplacement.should_refuse(plan_behind(0.5), 0.5)
 
 
 def test_length_alone_makes_nothing_hopeless():
     long_prompt = Prompt("m", (Part("l", 90_000),), 90_000, 118)
     plan = choose_plan(make_fleet(), long_prompt, CALM)
-    assert plan.first_s > 0.2
-    assert not reading.is_hopeless(plan, PATIENCE_S)
+    assert plan.first_event_s > 0.2
+    assert not prefillplacement.should_refuse(plan, PATIENCE_S)
 
 
 def test_the_operators_ranks_go_before_each_other():
@@ -163,7 +163,7 @@
         engine.prefill_share = 0.05
     plan = choose_plan(fleet, DIGEST, LINKED)
     assert name(plan.reader).startswith("p")
-    assert (name(plan.holder), plan.unread) == ("d2", 2900)
+    assert (name(plan.holder), plan.uncached_tokens) == ("d2", 2900)
 
 
 def test_nothing_is_fetched_over_a_link_that_is_slower_than_reading():
@@ -173,7 +173,7 @@
     fleet[3][1].prefill_share = 0.05
     slow = dataclasses.replace(LINKED, token_transfer_s=1e-5)
     plan = choose_plan(fleet, DIGEST, slow)
-    assert (plan.holder, plan.unread) == (None, 9200)
+    assert (plan.holder, plan.uncached_tokens) == (None, 9200)
 
 
 def test_nothing_is_fetched_where_links_are_not_known():
@@ -214,7 +214,7 @@
     for _, engine in fleet:
         engines.note_prefill_start(engine, 0.0, 0.08, 1)
     engines.note_placed(fleet[0][1], DIGEST.parts[:2])
-    held = dataclasses.replace(CALM, has_exposed=False)
+    held = dataclasses.replace(CALM, has_pause_sensitive=False)
     assert name(choose_plan(fleet, DIGEST, held).target) == "d1"
 
 
@@ -223,9 +223,9 @@
     fleet = [make_pair("d1", "decode")]
     fleet[0][1].own_backlog_s[0] = 3.0
     plan = choose_plan(fleet, CHAT, LONG)
-    assert plan.level < LATE
-    assert reading.is_hopeless(plan, PATIENCE_S)
-    assert not reading.is_hopeless(plan, 60.0)
+    assert plan.level < LATE_LEVEL
+    assert prefillplacement.should_refuse(plan, PATIENCE_S)
+    assert not prefillplacement.should_refuse(plan, 60.0)
 
 
 def test_the_prompt_of_a_long_answer_is_read_apart_where_its_host_can_not_bear_it():
@@ -246,7 +246,7 @@
     prompts that had been read, of which a tenth began 0.25 s later or never."""
     short = choose_plan(make_fleet(), CHAT, dataclasses.replace(CALM, rank=1))
     long = choose_plan(make_fleet(), CHAT, dataclasses.replace(LONG, rank=1))
-    assert short.level == SHORT
+    assert short.level == SHORT_LEVEL
     assert long.level == find_rank_level(1)
     # It is still read where it is answered.
     assert long.reader is None
@@ -257,24 +257,24 @@
     limits. Not where answers of its length are due a turn."""
     fleet = make_fleet()
     for _, engine in fleet[2:]:
-        answering.note_event(engine, 10.0, 0.075)
+        interference.note_event(engine, 10.0, 0.075)
     at = dataclasses.replace(
-        LONG, now=10.0, most_event_s=0.1, longest_event_s=15.0 / 214
+        LONG, now=10.0, max_event_s=0.1, longest_answer_event_s=15.0 / 214
     )
-    assert reading.is_hopeless(choose_plan(fleet, CHAT, at), 15.0)
-    due = dataclasses.replace(at, has_answer_turn=True)
-    assert not reading.is_hopeless(choose_plan(fleet, CHAT, due), 15.0)
-    later = dataclasses.replace(at, now=10.0 + answering.EVENT_NEWS_S + 0.1)
-    assert not reading.is_hopeless(choose_plan(fleet, CHAT, later), 15.0)
+    assert prefillplacement.should_refuse(choose_plan(fleet, CHAT, at), 15.0)
+    due = dataclasses.replace(at, is_answer_underserved=True)
+    assert not prefillplacement.should_refuse(choose_plan(fleet, CHAT, due), 15.0)
+    later = dataclasses.replace(at, now=10.0 + interference.EVENT_MAX_AGE_S + 0.1)
+    assert not prefillplacement.should_refuse(choose_plan(fleet, CHAT, later), 15.0)
 
 
 def test_a_long_answer_that_would_wait_too_long_for_a_place_is_refused():
     fleet = make_fleet()
     for target, engine in fleet[2:]:
         target.in_flight = 58
-        answering.note_hold(engine, 4.8)
+        interference.note_slot_hold(engine, 4.8)
     plan = choose_plan(fleet, CHAT, LONG)
     assert plan.slot_wait_s > 1.0
-    assert reading.is_hopeless(plan, 15.0, most_slot_wait_s=0.2)
+    assert prefillplacement.should_refuse(plan, 15.0, most_slot_wait_s=0.2)
     # Who has come back already is let in, late.
-    assert not reading.is_hopeless(plan, 15.0)
+    assert not prefillplacement.should_refuse(plan, 15.0)
--- a/tests/core/test_patience.py
+++ b/tests/core/test_retrydetection.py
@@ -1,8 +1,8 @@
-from robinspindle.core.patience import Patience
+from robinspindle.core.retrydetection import RetryDetector
 
 
 def test_who_has_less_time_than_others_comes_back():
-    patience = Patience()
+    patience = RetryDetector()
     assert not patience.note("a", 2.0)
     assert not patience.note("a", 1.99)
     assert patience.note("a", 1.6)
@@ -10,11 +10,11 @@
 
 
 def test_a_route_whose_callers_become_more_patient_is_learnt():
-    patience = Patience()
+    patience = RetryDetector()
     assert not patience.note("a", 1.0)
     assert not patience.note("a", 2.0)
     assert patience.note("a", 1.0)
 
 
 def test_who_does_not_say_how_long_is_taken_as_new():
-    assert not Patience().note("a", None)
+    assert not RetryDetector().note("a", None)
--- a/tests/core/test_sizes.py
+++ b/tests/core/test_sizeclasses.py
@@ -1,6 +1,6 @@
 import pytest
 
-from robinspindle.core.sizes import find_size_class
+from robinspindle.core.sizeclasses import find_size_class
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -1,6 +1,6 @@
 import pytest
 
-from robinspindle.core.forwarding import Send, Source
+from robinspindle.core.forwarding import CacheSource, Send
 from robinspindle.exceptions import BadDocumentError
 from robinspindle.platform import dialect
 
@@ -34,7 +34,11 @@
         ("91", 410),
         ("e4", 250),
     ]
-    assert (prompt.tokens, prompt.out_tokens, prompt.expected_tokens) == (1460, 80, 60)
+    assert (prompt.tokens, prompt.max_answer_tokens, prompt.expected_answer_tokens) == (
+        1460,
+        80,
+        60,
+    )
 
 
 @pytest.mark.parametrize(
@@ -68,11 +72,13 @@
 
 
 def test_reading_apart_and_fetching():
-    assert "X-Stage: prefill\r\n" in encode(read_only=True)
-    assert "X-Kv-Source: 1.2.3.4:5/h1\r\n" in encode(source=Source("1.2.3.4:5", "h1"))
+    assert "X-Stage: prefill\r\n" in encode(prefill_only=True)
+    assert "X-Kv-Source: 1.2.3.4:5/h1\r\n" in encode(
+        source=CacheSource("1.2.3.4:5", "h1")
+    )
     assert "Kv-Fetch: 1.2.3.4:6\r\n" in encode(holder="1.2.3.4:6")
     assert "Kv-Fetch" not in encode()
-    assert dialect.decode_read("1.2.3.4:5", b'{"KvHandle":"h1"}') == Source(
+    assert dialect.decode_read("1.2.3.4:5", b'{"KvHandle":"h1"}') == CacheSource(
         "1.2.3.4:5", "h1"
     )
     with pytest.raises(BadDocumentError):
--- a/tests/test_readings.py
+++ b/tests/test_readings.py
@@ -17,7 +17,7 @@
 from robinspindle.core.forwarding import Part, Prompt
 from robinspindle.core.policy import Policy
 from robinspindle.core.prefillmodel import estimate_seconds
-from robinspindle.core.reading import Plan
+from robinspindle.core.prefillplacement import RequestPlan
 from robinspindle.readings import Readings
 
 PROMPT = Prompt("m", (Part("s", 200), Part("o", 1712)), 1912, 100)
@@ -42,7 +42,7 @@
     )
     readings = Readings(means)
     target = SimpleNamespace(announced=SimpleNamespace(lifetime="d1"))
-    plan = Plan(target, None, 1912, 0.08, 0.0, 0.1, 0.1)
+    plan = RequestPlan(target, None, 1912, 0.08, 0.0, 0.1, 0.1)
     passage = SimpleNamespace(request=SimpleNamespace(prompt=PROMPT))
     for number in range(20):
         now[0] = up_s + 0.3 * number
