--- a/src/robinspindle/core/aggregation.py
+++ b/src/robinspindle/core/aggregation.py
@@ -1,7 +1,7 @@
-"""Adds up what several entries tell, for a relay that speaks for them.
+"""Aggregation of digests by a relay.
 
-What one entry told is taken out again of the sum that is sent back to it, so that
-nobody counts its own work twice.
+The state that a gateway sent is subtracted from the total that is sent back to it, so
+that no gateway counts its own requests twice.
 """
 
 from collections.abc import Iterable
@@ -14,15 +14,16 @@
 from robinspindle.core.prefillmodel import add_fit_sums
 
 MAX_GROUP_PLACEMENTS = 96
-"""Placements that are told for a group at once: about 9 KB."""
+"""Maximum number of placements in the digest of a group: about 9 KB."""
 
 
 def merge_unsent(last: Digest | None, digest: Digest) -> Digest:
-    """Add an entry's newest digest to what it told that was not passed on yet.
+    """Merge a gateway's newest digest with its state that was not forwarded yet.
 
     Args:
-        last: What was not passed on; None for nothing.
-        digest: The newest.
+        last: The earlier digest with state that was not forwarded; None if there is
+            none.
+        digest: The newest digest.
     """
     if last is None or last.started != digest.started:
         return digest
@@ -33,12 +34,12 @@
         prefill_statistics=digest.prefill_statistics or last.prefill_statistics,
         silent_targets=sorted({*last.silent_targets, *digest.silent_targets}),
         caches=last.caches + digest.caches,
-        requests=_join_requests([last, digest]),
+        requests=_merge_requests([last, digest]),
     )
 
 
 def drop_sent(digest: Digest) -> Digest:
-    """Drop from a digest what is passed on just once."""
+    """Remove from a digest the state that is forwarded only once."""
     return msgspec.structs.replace(
         digest,
         placements=[],
@@ -49,13 +50,14 @@
     )
 
 
-def aggregate(own: Digest, others: Iterable[Digest], tells_all: bool) -> Digest:
-    """Add up what a relay tells for its group.
+def aggregate(own: Digest, others: Iterable[Digest], is_full: bool) -> Digest:
+    """Aggregate the digests of a relay's group.
 
     Args:
-        own: Its own digest.
-        others: Those of the entries for whom it speaks.
-        tells_all: Whether also what changes slowly is told: paces and names.
+        own: The relay's own digest.
+        others: The digests of the gateways that send to the relay.
+        is_full: Whether to include the state that changes slowly: the statistics to fit
+            the prefill model, and the names of the members.
     """
     digests = [own, *others]
     return msgspec.structs.replace(
@@ -64,25 +66,26 @@
         placements=[p for d in digests for p in d.placements][-MAX_GROUP_PLACEMENTS:],
         prefill_loads=_add_rates(digests),
         role_changes=[order for digest in digests for order in digest.role_changes],
-        prefill_statistics=_add_learnt(digests) if tells_all else [],
+        prefill_statistics=_add_statistics(digests) if is_full else [],
         silent_targets=sorted(
             {lifetime for digest in digests for lifetime in digest.silent_targets}
         ),
         caches=[cache for digest in digests for cache in digest.caches],
-        members=[digest.sender for digest in digests] if tells_all else None,
+        members=[digest.sender for digest in digests] if is_full else None,
         topic_ends=_find_ends(digests),
         era=max(digest.era for digest in digests),
         is_relay=True,
-        requests=_join_requests(digests),
+        requests=_merge_requests(digests),
     )
 
 
 def subtract(total: Digest, one: Digest) -> Digest:
-    """Take what one entry told out of the sum that is sent to it."""
+    """Subtract the digest of one gateway from the total that is sent to it."""
     own_loads = {load.lifetime: load for load in one.loads}
     own_placements = {id(placement) for placement in one.placements}
-    own_learnt = {
-        (told.service, told.prefill_only): told for told in one.prefill_statistics
+    own_statistics = {
+        (statistics.service, statistics.prefill_only): statistics
+        for statistics in one.prefill_statistics
     }
     return msgspec.structs.replace(
         total,
@@ -93,15 +96,18 @@
             for service, rate in total.prefill_loads.items()
         },
         prefill_statistics=[
-            _unlearn(told, own_learnt.get((told.service, told.prefill_only)))
-            for told in total.prefill_statistics
+            _subtract_statistics(
+                statistics,
+                own_statistics.get((statistics.service, statistics.prefill_only)),
+            )
+            for statistics in total.prefill_statistics
         ],
     )
 
 
-def _join_requests(digests: list[Digest]) -> RequestUpdates | None:
-    told = [digest.requests for digest in digests if digest.requests is not None]
-    return reduce(merge_updates, told) if told else None
+def _merge_requests(digests: list[Digest]) -> RequestUpdates | None:
+    updates = [digest.requests for digest in digests if digest.requests is not None]
+    return reduce(merge_updates, updates) if updates else None
 
 
 def _add_loads(digests: list[Digest]) -> list[Load]:
@@ -143,18 +149,22 @@
     return rates
 
 
-def _add_learnt(digests: list[Digest]) -> list[PrefillStatistics]:
+def _add_statistics(digests: list[Digest]) -> list[PrefillStatistics]:
     found: dict[tuple[str, bool], PrefillStatistics] = {}
     for digest in digests:
-        for told in digest.prefill_statistics:
-            key = (told.service, told.prefill_only)
+        for statistics in digest.prefill_statistics:
+            key = (statistics.service, statistics.prefill_only)
             known = found.get(key)
-            sums = told.sums if known is None else add_fit_sums(known.sums, told.sums)
+            sums = (
+                statistics.sums
+                if known is None
+                else add_fit_sums(known.sums, statistics.sums)
+            )
             found[key] = PrefillStatistics(*key, sums)
     return list(found.values())
 
 
-def _unlearn(
+def _subtract_statistics(
     total: PrefillStatistics, one: PrefillStatistics | None
 ) -> PrefillStatistics:
     if one is None:
@@ -164,7 +174,7 @@
 
 
 def _find_ends(digests: list[Digest]) -> dict[str, int]:
-    """Find how far each topic was read by those that know the newest era."""
+    """Find how far the gateways that know the newest store era read each topic."""
     ends: dict[str, int] = {}
     newest = max(digest.era for digest in digests)
     for digest in digests:
--- a/src/robinspindle/core/crashes.py
+++ b/src/robinspindle/core/crashes.py
@@ -1,9 +1,10 @@
-"""Crashes of targets and what ran there: evidence against requests that cause them.
+"""Crashes of targets, and which requests probably cause them.
 
-A request may crash each target that runs it. Each crash is also met by all others that
-run there, up to a hundred, so one says little. This module keeps who met which crash,
-and finds who is guilty: a request that met at least three, ended well nowhere, and
-would hardly have met so many by chance.
+A request may crash each target that runs it. Up to a hundred other requests run on a
+target when it crashes, so a single crash is weak evidence. This module keeps which
+requests were running at each crash and finds the probable causes: a request that was
+running at three or more crashes, succeeded nowhere, and for which so many coincidences
+would be very improbable.
 """
 
 import math
@@ -14,61 +15,64 @@
 from robinspindle.core.fingerprints import Fingerprint, get_head_hash
 
 MIN_CRASHES = 3
-"""Crashes that a request meets before it is taken as their cause: the platform's own
-figure, and the fewest by which one is told from the others that ran there."""
+"""Minimum number of crashes at which a request was running before it is taken as their
+cause: the platform's own number, and the fewest that distinguish the cause from the
+other requests that were running."""
 
 TIED_CRASHES = 4
-"""The same where another request met all of these crashes too, as it followed the first
-from target to target: one more tells which of the two it was."""
+"""The same if another request was running at all of these crashes too, because it was
+retried on the same targets: one more crash shows which of the two is the cause."""
 
 MAX_COINCIDENCE_PROBABILITY = 1e-3
-"""A request is taken as the cause if an innocent one would have met its crashes less
-often than this. In a storm in which each target crashes every 4 s, 1 in 8,000 innocent
-callers is turned away (`tests/core/test_crashes.py`)."""
+"""A request is taken as the cause if an innocent one would have been running at its
+crashes with a lower probability than this. If each target crashes every 4 s, 1 in 8,000
+innocent callers is rejected (`tests/core/test_crashes.py`)."""
 
 EXPLAINED_CRASH_PROBABILITY = 0.3
-"""How likely an innocent request meets a crash that another one is known to cause; not
-1, as two that crash targets may meet there."""
+"""Probability that an innocent request is running at a crash with another known cause;
+not 1, as two requests that crash targets may run on the same target."""
 
 MIN_RUN_S = 0.05
-"""The least time that a run counts as under way, seconds: what is sent to a target that
-has just crashed, before that is known, meets the crash however short it ran."""
+"""Minimum run time that is assumed for a request at a crash, seconds: a request that is
+sent to a crashed target before the crash is known is affected however briefly it
+ran."""
 
 MIN_CRASH_RATE = 1e-3
-"""Crashes of one target in a second that are reckoned with where none is seen: one in a
-quarter of an hour, far more than targets crash in a quiet hour."""
+"""Minimum crash rate of one target that is assumed, crashes per second: one in a
+quarter of an hour, far more than targets crash in normal operation."""
 
 CRASH_RATE_SPAN_S = 30.0
-"""Crashes so long before and after one tell how often targets crash then, seconds:
-several times as long as a storm of crashes needs to show itself."""
+"""Time before and after a crash in which the crashes are counted to estimate the crash
+rate, seconds: several times as long as a series of crashes takes to become visible."""
 
 CRASH_RETENTION_S = 3600.0
 MAX_CRASHES = 256
-"""How long a crash is kept, seconds, and how many are. A request that comes once in 20
-minutes is still found out."""
+"""How long a crash is kept, seconds, and how many are kept. This is long enough to find
+a cause that is requested only once in 20 minutes."""
 
 MAX_RUNS = 128
 MAX_REQUESTS = 1024
-"""Requests that are kept of one crash, and of all together: 0.7 MB with what is kept of
-good ends. Under a flood those that met one crash fall out first, the oldest of them."""
+"""Maximum number of requests that are kept for one crash, and for all crashes: 0.7 MB
+together with the successes. If there are more, the requests with a single crash are
+removed first, from the oldest crash on."""
 
 SUCCESS_RETENTION_S = 60.0
 MAX_SUCCESSES = 1024
-"""How long a run to a good end speaks for a request, seconds, and how many requests are
-remembered for one. What many callers ask for runs somewhere whenever a target crashes,
-and ends well somewhere else within seconds."""
+"""How long a success clears a request, seconds, and how many successes are kept. A
+request that many callers send is running somewhere whenever a target crashes, and
+succeeds on another target within seconds."""
 
 
 @dataclass
 class Crash:
-    """One crash.
+    """One crash of a target.
 
     Attributes:
-        lifetime: The life of the target that it ended.
+        lifetime: The lifetime of the target that it ended.
         service: The target's service.
-        at: When it was noticed first, steady seconds.
-        runs: How long each request usually is under way, or was there if longer,
-            seconds.
+        at: When it was first detected, monotonic seconds.
+        runs: The run time of each request that was running, by fingerprint, seconds:
+            its usual run time, or its run time until the crash if that was longer.
     """
 
     lifetime: str
@@ -79,14 +83,14 @@
 
 @dataclass
 class Evidence:
-    """All crashes that are known, and who is cleared.
+    """All known crashes, and which requests are cleared.
 
     Attributes:
         crashes: By lifetime, the oldest first.
-        crashes_by_request: Lifetimes whose crash a request met, by its fingerprint.
-        head_hashes: How many fingerprints with each mark have met a crash.
-        successes: When a request last ran to a good end, steady seconds; the latest
-            last.
+        crashes_by_request: Lifetimes of the targets that crashed while a request was
+            running there, by its fingerprint.
+        head_hashes: Number of fingerprints in `crashes_by_request` with each head hash.
+        successes: When a request last succeeded, monotonic seconds; the latest last.
     """
 
     crashes: OrderedDict[str, Crash] = field(default_factory=OrderedDict)
@@ -96,18 +100,18 @@
 
 
 def note_crash(evidence: Evidence, crash: Crash, now: float) -> bool:
-    """Take note of a crash, or of more that is known of one.
+    """Add a crash, or more requests to a known crash.
 
     Args:
-        evidence: What is known.
-        crash: The crash, with those that met it.
-        now: The present time, steady seconds.
+        evidence: The known crashes; changed in place.
+        crash: The crash, with the requests that were running.
+        now: The current time, monotonic seconds.
 
     Returns:
-        Whether it was news.
+        Whether the crash, or one of its requests, was not known before.
     """
     known = evidence.crashes.get(crash.lifetime)
-    is_news = known is None
+    is_new = known is None
     if known is None:
         known = Crash(crash.lifetime, crash.service, crash.at)
         evidence.crashes[crash.lifetime] = known
@@ -116,16 +120,16 @@
             continue
         if not is_cleared(evidence, fingerprint, now):
             _add_run(evidence, known, fingerprint, seconds)
-            is_news = True
-    _forget_old(evidence, now)
-    return is_news
+            is_new = True
+    _limit_size(evidence, now)
+    return is_new
 
 
 def note_success(evidence: Evidence, fingerprint: Fingerprint, now: float) -> bool:
-    """Take note that a request ran to a good end: it crashes no target.
+    """Note that a request succeeded, so that it is not the cause of the crashes.
 
     Returns:
-        Whether it was suspected until now.
+        Whether there was evidence against it.
     """
     evidence.successes[fingerprint] = now
     evidence.successes.move_to_end(fingerprint)
@@ -135,37 +139,41 @@
 
 
 def discard_evidence(evidence: Evidence, fingerprint: Fingerprint) -> bool:
-    """Drop all that speaks against a request; whether there was anything."""
+    """Discard the evidence against a request.
+
+    Returns:
+        Whether there was any.
+    """
     lifetimes = evidence.crashes_by_request.pop(fingerprint, None)
     if lifetimes is None:
         return False
-    _drop_mark(evidence, fingerprint)
+    _drop_head_hash(evidence, fingerprint)
     for lifetime in lifetimes:
         evidence.crashes[lifetime].runs.pop(fingerprint, None)
     return True
 
 
 def is_cleared(evidence: Evidence, fingerprint: Fingerprint, now: float) -> bool:
-    """Whether a request lately ran to a good end."""
-    good_at = evidence.successes.get(fingerprint)
-    return good_at is not None and now - good_at <= SUCCESS_RETENTION_S
+    """Whether a request succeeded within `SUCCESS_RETENTION_S`."""
+    succeeded_at = evidence.successes.get(fingerprint)
+    return succeeded_at is not None and now - succeeded_at <= SUCCESS_RETENTION_S
 
 
 def count_crashes(evidence: Evidence, fingerprint: Fingerprint) -> int:
-    """Count the crashes that a request met."""
+    """Count the crashes at which a request was running."""
     return len(evidence.crashes_by_request.get(fingerprint, ()))
 
 
 def find_service(evidence: Evidence, fingerprint: Fingerprint) -> str:
-    """Find the service whose targets crashed under a request; empty for none."""
+    """Find the service whose targets crashed under a request; empty if none."""
     lifetimes = evidence.crashes_by_request.get(fingerprint)
     return evidence.crashes[min(lifetimes)].service if lifetimes else ""
 
 
 def is_suspected(evidence: Evidence, fingerprint: Fingerprint) -> bool:
-    """Whether a request met as many crashes that one more would tell whether it is it.
+    """Whether one more crash may show that a request is a probable cause.
 
-    It had better run where it has least to take with it.
+    Such a request should run where a crash affects the fewest other requests.
     """
     return count_crashes(evidence, fingerprint) >= MIN_CRASHES - 1
 
@@ -176,18 +184,18 @@
     known_causes: Iterable[Fingerprint],
     targets: int,
 ) -> bool:
-    """Whether a request is to be taken as the cause of the crashes that it met.
+    """Whether a request is taken as the cause of the crashes at which it was running.
 
     Args:
-        evidence: What is known.
+        evidence: The known crashes.
         fingerprint: The request.
         known_causes: Requests that are known to crash targets.
-        targets: Targets of its service.
+        targets: Number of targets of its service.
     """
     lifetimes = evidence.crashes_by_request.get(fingerprint, set())
     if len(lifetimes) < MIN_CRASHES:
         return False
-    is_tied = _has_companion(evidence, fingerprint, lifetimes)
+    is_tied = _is_tied(evidence, fingerprint, lifetimes)
     if is_tied and len(lifetimes) < TIED_CRASHES:
         return False
     others = set(known_causes) - {fingerprint}
@@ -203,36 +211,39 @@
     others: set[Fingerprint],
     targets: int,
 ) -> float:
-    """Find how likely an innocent request would have met its crashes, 0 to 1.
+    """Find the probability that an innocent request runs at the same crashes, 0 to 1.
 
-    A long run meets a crash more often than a short one, and more where targets crash
-    anyway. What counts is how long such runs usually last, not how long this one did:
-    in a storm in which each target crashes every 4 s, judged by the time until the
-    crash 119 of 461 that met three were taken as guilty, by the usual length 5
+    A long run coincides with a crash more often than a short one, and more often where
+    targets crash frequently. The usual run time counts instead of the run time until
+    the crash: if each target crashes every 4 s, the time until the crash made 119 of
+    461 innocent requests with three crashes probable causes, the usual run time 5
     (`tests/core/test_crashes.py`).
 
     Args:
-        evidence: What is known.
+        evidence: The known crashes.
         fingerprint: The request.
         others: Other requests that are known to crash targets.
-        targets: Targets of its service.
+        targets: Number of targets of its service.
     """
-    chance = 1.0
+    probability = 1.0
     for lifetime in evidence.crashes_by_request.get(fingerprint, ()):
         crash = evidence.crashes[lifetime]
         if others.isdisjoint(crash.runs):
             rate = _find_other_rate(evidence, crash, {fingerprint, *others}, targets)
             seconds = max(MIN_RUN_S, crash.runs[fingerprint])
-            chance *= 1.0 - math.exp(-rate * seconds)
+            probability *= 1.0 - math.exp(-rate * seconds)
         else:
-            chance *= EXPLAINED_CRASH_PROBABILITY
-    return chance
+            probability *= EXPLAINED_CRASH_PROBABILITY
+    return probability
 
 
 def _find_other_rate(
     evidence: Evidence, crash: Crash, causes: set[Fingerprint], targets: int
 ) -> float:
-    """Find how often a target crashes at that time without these causes, per second."""
+    """Estimate the crash rate of a target around a crash, per second.
+
+    Crashes at which one of the causes was running are not counted.
+    """
     count = sum(
         other.service == crash.service
         and abs(other.at - crash.at) <= CRASH_RATE_SPAN_S
@@ -242,10 +253,8 @@
     return max(MIN_CRASH_RATE, count / (CRASH_RATE_SPAN_S * max(1, targets)))
 
 
-def _has_companion(
-    evidence: Evidence, fingerprint: Fingerprint, lifetimes: set[str]
-) -> bool:
-    """Whether another request met all of these crashes too."""
+def _is_tied(evidence: Evidence, fingerprint: Fingerprint, lifetimes: set[str]) -> bool:
+    """Whether another request was running at all of these crashes too."""
     runs = [set(evidence.crashes[lifetime].runs) for lifetime in lifetimes]
     return len(set.intersection(*runs)) > 1
 
@@ -260,7 +269,7 @@
     evidence.crashes_by_request[fingerprint].add(crash.lifetime)
 
 
-def _forget_old(evidence: Evidence, now: float) -> None:
+def _limit_size(evidence: Evidence, now: float) -> None:
     for crash in list(evidence.crashes.values()):
         is_old = (
             now - crash.at > CRASH_RETENTION_S or len(evidence.crashes) > MAX_CRASHES
@@ -271,13 +280,13 @@
     for crash in list(evidence.crashes.values()):
         if len(evidence.crashes_by_request) <= MAX_REQUESTS:
             return
-        _forget_single(evidence, crash)
+        _discard_single(evidence, crash)
     while len(evidence.crashes_by_request) > MAX_REQUESTS:
         _forget_crash(evidence, next(iter(evidence.crashes.values())))
 
 
-def _forget_single(evidence: Evidence, crash: Crash) -> None:
-    """Forget those that met this crash alone, until few enough are left."""
+def _discard_single(evidence: Evidence, crash: Crash) -> None:
+    """Discard the requests whose only crash is this one, until few enough are left."""
     for fingerprint in list(crash.runs):
         if len(evidence.crashes_by_request) <= MAX_REQUESTS:
             return
@@ -296,10 +305,10 @@
     lifetimes.discard(lifetime)
     if not lifetimes:
         del evidence.crashes_by_request[fingerprint]
-        _drop_mark(evidence, fingerprint)
+        _drop_head_hash(evidence, fingerprint)
 
 
-def _drop_mark(evidence: Evidence, fingerprint: Fingerprint) -> None:
+def _drop_head_hash(evidence: Evidence, fingerprint: Fingerprint) -> None:
     head_hash = get_head_hash(fingerprint)
     evidence.head_hashes[head_hash] -= 1
     if not evidence.head_hashes[head_hash]:
--- a/src/robinspindle/core/crashupdates.py
+++ b/src/robinspindle/core/crashupdates.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other of crashes and of requests that cause them."""
+"""Updates that gateways exchange on crashes and on requests that cause them."""
 
 from dataclasses import dataclass, field
 
@@ -10,24 +10,24 @@
 from robinspindle.core.retransmission import Retransmissions
 
 MAX_RUNS_PER_DATAGRAM = 512
-"""Requests that met crashes in one datagram: 14 KB of the 64 KB that it may have. Four
-engines with 128 answers each may crash at once and all be told of."""
+"""Maximum number of requests with a crash in one datagram: 14 KB of its maximum of 64
+KB. All requests of four engines with 128 answers each that crash at once fit in one."""
 
 MAX_RUN_MS = 3_600_000
-"""No request is under way for longer than an hour, milliseconds."""
+"""Maximum run time of a request, milliseconds."""
 
 MAX_AGO_MS = 60_000
-"""News of a crash are not older than a minute, milliseconds."""
+"""Maximum age of a crash in an update, milliseconds."""
 
 
 class CrashUpdate(msgspec.Struct, array_like=True):
-    """A crash, and what the sender had under way there.
+    """A crash, and the sender's requests that were running there.
 
     Attributes:
-        lifetime: The life that ended.
+        lifetime: The lifetime of the target that ended.
         service: The target's service.
-        ago_ms: How long ago it was noticed, milliseconds.
-        runs: Fingerprints, with how long each request had been under way, milliseconds.
+        ago_ms: Time since the crash was detected, milliseconds.
+        runs: Fingerprints of the requests, with the run time of each, milliseconds.
     """
 
     lifetime: str
@@ -37,7 +37,7 @@
 
 
 class QuarantineUpdate(msgspec.Struct, array_like=True):
-    """What was last said of one request; see `robinspindle.core.quarantine.Entry`."""
+    """The newest entry of one request; see `robinspindle.core.quarantine.Entry`."""
 
     fingerprint: bytes
     standing: str
@@ -48,12 +48,12 @@
 
 
 class RequestUpdates(msgspec.Struct, array_like=True):
-    """All that is told of requests that crash targets.
+    """All updates on requests that crash targets.
 
     Attributes:
         crashes: Crashes.
-        cleared: Fingerprints of suspected requests that ran to a good end.
-        quarantine: Requests that are turned away, or were released.
+        cleared: Fingerprints of suspected requests that succeeded.
+        quarantine: Entries of requests that were quarantined or released.
     """
 
     crashes: list[CrashUpdate] = []
@@ -63,13 +63,14 @@
 
 @dataclass
 class PendingUpdates:
-    """What one gateway still tells of crashes.
+    """The updates that one gateway is still sending.
 
     Attributes:
-        crashes: Lifetimes whose end is told.
-        cleared: Requests of which it is told that they ended well.
-        entries: Requests whose entry is told.
-        own_runs: What this gateway had under way when a life ended.
+        crashes: Lifetimes whose crash is sent.
+        cleared: Requests whose success is sent.
+        entries: Requests whose entry is sent.
+        own_runs: This gateway's requests that were running at each crash, with their
+            run times, seconds, by lifetime.
     """
 
     crashes: Retransmissions[str] = field(default_factory=Retransmissions)
@@ -79,20 +80,20 @@
 
 
 def write_crash(crash: Crash, now: float) -> CrashUpdate:
-    """Write a crash for the peers."""
+    """Make the update for a crash."""
     runs = [(f, round(seconds * 1000)) for f, seconds in crash.runs.items()]
     ago_ms = max(0, round((now - crash.at) * 1000))
     return CrashUpdate(crash.lifetime, crash.service, ago_ms, runs[:MAX_RUNS])
 
 
-def read_crash(news: CrashUpdate, now: float) -> Crash:
-    """Read a crash that a peer told."""
-    runs = {Fingerprint(f): ms / 1000 for f, ms in news.runs}
-    return Crash(news.lifetime, news.service, now - news.ago_ms / 1000, runs)
+def read_crash(update: CrashUpdate, now: float) -> Crash:
+    """Make the crash from a peer's update."""
+    runs = {Fingerprint(f): ms / 1000 for f, ms in update.runs}
+    return Crash(update.lifetime, update.service, now - update.ago_ms / 1000, runs)
 
 
 def write_entry(entry: Entry) -> QuarantineUpdate:
-    """Write what is said of a request for the peers."""
+    """Make the update for the entry of a request."""
     return QuarantineUpdate(
         entry.fingerprint,
         entry.standing.value,
@@ -103,34 +104,35 @@
     )
 
 
-def read_entry(news: QuarantineUpdate) -> Entry:
-    """Read what a peer says of a request; it must have no fault."""
+def read_entry(update: QuarantineUpdate) -> Entry:
+    """Make the entry of a request from a peer's update, which must be valid."""
     return Entry(
-        Fingerprint(news.fingerprint),
-        Standing(news.standing),
-        news.at_ms,
-        tuple(news.lifetimes),
-        news.name,
-        news.trials,
+        Fingerprint(update.fingerprint),
+        Standing(update.standing),
+        update.at_ms,
+        tuple(update.lifetimes),
+        update.name,
+        update.trials,
     )
 
 
 def merge_updates(first: RequestUpdates, second: RequestUpdates) -> RequestUpdates:
-    """Put what two senders tell together, as much as a datagram may tell.
+    """Merge the updates of two senders, up to what a datagram may contain.
 
-    The same thing told by many is told once: of 300 gateways 62 told of one request.
+    Updates of several senders on the same crash or request become one: of 300 gateways,
+    62 sent an update on one request.
     """
     return RequestUpdates(
-        _join_crashes(first.crashes + second.crashes),
+        _merge_crashes(first.crashes + second.crashes),
         list(dict.fromkeys(first.cleared + second.cleared)),
-        _join_entries(first.quarantine + second.quarantine),
+        _merge_entries(first.quarantine + second.quarantine),
     )
 
 
-def _join_crashes(told: list[CrashUpdate]) -> list[CrashUpdate]:
+def _merge_crashes(updates: list[CrashUpdate]) -> list[CrashUpdate]:
     found: dict[str, CrashUpdate] = {}
     count = 0
-    for crash in told:
+    for crash in updates:
         count += len(crash.runs)
         if count > MAX_RUNS_PER_DATAGRAM:
             break
@@ -140,32 +142,32 @@
     return list(found.values())
 
 
-def _join_entries(told: list[QuarantineUpdate]) -> list[QuarantineUpdate]:
+def _merge_entries(updates: list[QuarantineUpdate]) -> list[QuarantineUpdate]:
     found: dict[bytes, QuarantineUpdate] = {}
-    for entry in told:
+    for entry in updates:
         known = found.get(entry.fingerprint)
         if known is None or known.at_ms < entry.at_ms:
             found[entry.fingerprint] = entry
     return list(found.values())
 
 
-def are_updates_valid(news: RequestUpdates) -> bool:
-    """Whether what a peer tells has the right shapes and ranges."""
+def are_updates_valid(update: RequestUpdates) -> bool:
+    """Whether a peer's updates have valid shapes and ranges."""
     return (
-        all(_is_crash(crash) for crash in news.crashes)
-        and all(is_fingerprint(fingerprint) for fingerprint in news.cleared)
-        and all(_is_entry(entry) for entry in news.quarantine)
+        all(_is_crash_valid(crash) for crash in update.crashes)
+        and all(is_fingerprint(fingerprint) for fingerprint in update.cleared)
+        and all(_is_entry_valid(entry) for entry in update.quarantine)
     )
 
 
-def _is_crash(news: CrashUpdate) -> bool:
+def _is_crash_valid(update: CrashUpdate) -> bool:
     return (
-        is_lifetime(news.lifetime)
-        and 0 <= news.ago_ms <= MAX_AGO_MS
-        and all(is_fingerprint(f) and 0 <= ms <= MAX_RUN_MS for f, ms in news.runs)
+        is_lifetime(update.lifetime)
+        and 0 <= update.ago_ms <= MAX_AGO_MS
+        and all(is_fingerprint(f) and 0 <= ms <= MAX_RUN_MS for f, ms in update.runs)
     )
 
 
-def _is_entry(news: QuarantineUpdate) -> bool:
+def _is_entry_valid(update: QuarantineUpdate) -> bool:
     standings = {standing.value for standing in Standing}
-    return news.standing in standings and find_fault(read_entry(news)) is None
+    return update.standing in standings and find_fault(read_entry(update)) is None
--- a/src/robinspindle/core/fingerprints.py
+++ b/src/robinspindle/core/fingerprints.py
@@ -1,10 +1,10 @@
-"""Names a request by what it asks for, so that it is known when it comes again.
+"""Fingerprints of requests, to recognize a request when it is sent again.
 
-Each attempt of a caller has an id of its own. What stays the same is the host, the path
-with its query, the caller's key and the body; the description of a prompt is left out,
-as it says nothing that the body does not. A fingerprint begins with a mark of all but
-the body: a body of 100 kB, 0.3 ms beside other work, is read only where its mark is
-known already.
+Each attempt of a caller has its own id. The host, the path with its query, the caller's
+key and the body stay the same. The description of a prompt is left out, as it contains
+nothing that the body doesn't. A fingerprint starts with a hash of all but the body, the
+head hash. Hashing a body of 100 kB takes 0.3 ms, in which nothing else runs, and is
+done only if the head hash is known already.
 """
 
 import hashlib
@@ -14,51 +14,51 @@
 from robinspindle.core.forwarding import Request
 
 Fingerprint = NewType("Fingerprint", bytes)
-"""A mark, and a digest of the body."""
+"""A head hash, followed by a hash of the body."""
 
 HEAD_HASH_BYTES = 8
 BODY_HASH_BYTES = 16
-"""Lengths of the two parts, bytes. Two of 10,000 marks agree by chance once in
-4 * 10^11 times, which costs one look at a body; nobody finds a second body to a
-digest."""
+"""Lengths of the two hashes, bytes. Two of 10,000 head hashes are equal by chance once
+in 4 * 10^11 cases, which costs hashing one body. Nobody can construct a second body
+with the same hash."""
 
 FINGERPRINT_BYTES = HEAD_HASH_BYTES + BODY_HASH_BYTES
 
 
 def hash_head(request: Request) -> bytes:
-    """Digest all that names a request but its body."""
+    """Hash all that identifies a request, except its body."""
     host = request.host.lower().encode("latin-1", "replace")
-    named = (request.method.encode(), host, request.target, request.caller)
-    return hashlib.blake2b(b"\n".join(named), digest_size=HEAD_HASH_BYTES).digest()
+    identity = (request.method.encode(), host, request.target, request.caller)
+    return hashlib.blake2b(b"\n".join(identity), digest_size=HEAD_HASH_BYTES).digest()
 
 
 def make_fingerprint(request: Request, head_hash: bytes) -> Fingerprint:
-    """Name a request.
+    """Make the fingerprint of a request.
 
     Args:
-        request: The request, with its whole body.
-        head_hash: Its mark (`hash_head`).
+        request: The request, with its complete body.
+        head_hash: Its head hash (`hash_head`).
     """
     body = hashlib.blake2b(request.body, digest_size=BODY_HASH_BYTES).digest()
     return Fingerprint(head_hash + body)
 
 
 def get_head_hash(fingerprint: Fingerprint) -> bytes:
-    """Get the mark that a fingerprint begins with."""
+    """Return the head hash of a fingerprint."""
     return fingerprint[:HEAD_HASH_BYTES]
 
 
 def is_fingerprint(value: bytes) -> bool:
-    """Whether bytes from elsewhere have the form of a fingerprint."""
+    """Whether received bytes have the form of a fingerprint."""
     return len(value) == FINGERPRINT_BYTES
 
 
 class FingerprintedRequest:
-    """A request whose mark and fingerprint are made once, when they are asked for.
+    """A request whose head hash and fingerprint are computed once, on first use.
 
     Attributes:
         request: The request.
-        is_trial: Whether it may be sent once although it is in quarantine.
+        is_trial: Whether it may be sent once although it is quarantined.
     """
 
     def __init__(self, request: Request):
@@ -67,10 +67,10 @@
 
     @cached_property
     def head_hash(self) -> bytes:
-        """Its mark."""
+        """The head hash of the request."""
         return hash_head(self.request)
 
     @cached_property
     def fingerprint(self) -> Fingerprint:
-        """Its fingerprint."""
+        """The fingerprint of the request."""
         return make_fingerprint(self.request, self.head_hash)
--- a/src/robinspindle/core/freshness.py
+++ b/src/robinspindle/core/freshness.py
@@ -1,35 +1,39 @@
-"""How sure a gateway is that the configuration which it holds is the newest.
-
-Where keys must stop working everywhere within a promised time, also at a gateway that
-is cut off, a gateway serves requests with a key only while it holds a lease of
-freshness: it knows that at some moment, less than that time before the request came,
-no newer configuration was in force. The moment is the one at which a call to the store
-was *sent*, as the answer may have waited anywhere. A peer passes its own on as an age
-beside the number of the newest datagram that it had from us: the peer spoke after we
-sent that one, so the age counts from then, and time spent on the way or in a buffer
-only makes it older. All times are of one clock that counts suspension.
+"""How sure a gateway is that its configuration is the newest one.
+
+A revoked key must stop working everywhere within a promised time, also at a gateway
+that is partitioned from the rest. A gateway therefore serves requests with a key only
+while it holds a freshness lease: it knows that no newer configuration was in force at
+some moment that is less than the promised time before the request came. That moment is
+when a call to the store was *sent*, as the answer may have been delayed anywhere. A
+peer forwards its own moment as an age, together with the number of the newest datagram
+that it received from this gateway. The peer sent the age after that datagram was sent,
+so the age counts from then, and delays in the network or in a buffer can only make it
+older. All times are of one clock that counts suspension.
 """
 
 import math
 from dataclasses import dataclass
 
 MARGIN_SHARE = 0.02
-"""Part of the promised time that is not used: clocks of two VMs run apart."""
+"""Fraction of the promised time that is not used, as the clocks of two VMs drift."""
 
 WAIT_SHARE = 0.2
-"""Part of the promised time for which the store holds a poll. What its answer says was
-true when it was sent: between two answers the age grows to twice as much."""
+"""Fraction of the promised time for which the store holds a poll open. Its answer is
+true as of when the poll was sent: between two answers the age grows to twice this."""
 
 RENEW_SHARE = 0.6
-"""Part of the promised time after which the store is asked out of turn: beyond what
-polls and peers leave, and one call that gets no answer may still be made up for."""
+"""Fraction of the promised time after which the store is asked ahead of schedule: more
+than the age reaches with polls and peers, and early enough that one call without an
+answer can still be repeated."""
 
 PEERS_RENEW_S = 1.0
-"""Who was told within this counts on its peers for more, seconds: five datagrams."""
+"""A gateway that a peer renewed within this time relies on its peers, seconds: the time
+of five datagrams."""
 
 DENY_SHARE = 0.8
-"""Part of the time in which a configuration must be in force up to which what it does
-not name is called unknown. Who has not heard for longer says that it can't tell."""
+"""Fraction of the time in which a configuration must be in force. Up to this age of the
+configuration, a gateway calls a key that it doesn't name unknown; beyond, it answers
+that it can't tell."""
 
 
 @dataclass
@@ -37,15 +41,15 @@
     """What one gateway knows of the age of its configuration.
 
     Attributes:
-        limit_s: The time within which a key that was taken away stops working, seconds;
-            None where that is not promised of gateways that are cut off.
+        limit_s: The promised time within which a revoked key stops working, seconds;
+            None if this is not promised for partitioned gateways.
         apply_s: The time within which a configuration is in force, seconds.
-        has_keys: Whether requests need keys by the configuration in force.
+        has_keys: Whether the configuration in force requires keys for requests.
         version: Its version; 0 for none.
-        newest_at: When it was last known to be the newest, steady seconds.
-        peer_renewed_at: When a peer last renewed that, steady seconds.
-        newer_version: The highest version that a peer told of.
-        newer_at: When it was told, steady seconds.
+        newest_at: When it was last known to be the newest, monotonic seconds.
+        peer_renewed_at: When a peer last renewed `newest_at`, monotonic seconds.
+        newer_version: The highest version that a peer sent.
+        newer_at: When that version was received, monotonic seconds.
     """
 
     limit_s: float | None = None
@@ -59,13 +63,14 @@
 
 
 def note_store_read(freshness: Freshness, sent_at: float) -> None:
-    """Take note that the store held nothing newer.
+    """Note that the store held no newer configuration.
 
-    A store that has returned from a copy may hold less than a peer has seen.
+    This is ignored if a peer has sent a newer version, as a store that was restored
+    from a backup may hold less than a peer has read.
 
     Args:
         freshness: What is known; changed in place.
-        sent_at: When the store was asked, steady seconds.
+        sent_at: When the store was asked, monotonic seconds.
     """
     if not _is_behind(freshness, sent_at):
         freshness.newest_at = max(freshness.newest_at, sent_at)
@@ -74,14 +79,14 @@
 def note_peer_version(
     freshness: Freshness, version: int, as_of: float, now: float
 ) -> None:
-    """Take note of the version that a peer knew to be the newest.
+    """Note the version that a peer knew to be the newest.
 
     Args:
         freshness: What is known; changed in place.
         version: The version that the peer holds.
-        as_of: The latest moment, by our clock, at which it is sure to have been the
-            newest.
-        now: The present time, steady seconds.
+        as_of: The latest moment at which it is certain to have been the newest, by this
+            gateway's clock, monotonic seconds.
+        now: The current time, monotonic seconds.
     """
     if version > freshness.version:
         freshness.newer_version = max(freshness.newer_version, version)
@@ -94,12 +99,13 @@
 def may_serve(freshness: Freshness, received_at: float) -> bool:
     """Whether a request with a known key may run.
 
-    A configuration that took the key away since came after `newest_at`, so the
-    request was sent before the promised time after it had passed, whenever it runs.
+    A configuration that revoked the key since then came into force after `newest_at`.
+    The request therefore was sent before the promised time after that had passed,
+    whenever it runs.
 
     Args:
         freshness: What is known.
-        received_at: When the request's head had come, steady seconds.
+        received_at: When the head of the request was received, monotonic seconds.
     """
     if not _is_promised(freshness):
         return True
@@ -108,9 +114,9 @@
 
 
 def may_deny(freshness: Freshness, now: float) -> bool:
-    """Whether a key that is not known here may be called unknown.
+    """Whether a key that this gateway doesn't know may be called unknown.
 
-    Else it may have been given out since, and this gateway lags.
+    Otherwise it may have been issued since, and this gateway may be behind.
     """
     if _is_behind(freshness, now):
         return False
@@ -118,46 +124,47 @@
 
 
 def must_renew(freshness: Freshness, now: float) -> bool:
-    """Whether the store is to be asked out of turn."""
+    """Whether the store must be asked ahead of schedule."""
     if not _is_promised(freshness):
         return False
     return now - freshness.newest_at > RENEW_SHARE * freshness.limit_s
 
 
-def find_wait_s(freshness: Freshness, now: float, most_s: float) -> float:
-    """Find how long the store may hold a poll for configurations, seconds.
+def find_wait_s(freshness: Freshness, now: float, max_s: float) -> float:
+    """Find how long the store may hold a poll for configurations open, seconds.
 
     Args:
         freshness: What is known.
-        now: The present time, steady seconds.
-        most_s: How long it may where nothing hangs on the age, or peers renew it.
+        now: The current time, monotonic seconds.
+        max_s: The longest time, for a gateway whose peers renew its configuration or
+            to which the promise doesn't apply, seconds.
     """
     if relies_on_peers(freshness, now):
-        return most_s
-    return find_relay_wait_s(freshness, most_s)
+        return max_s
+    return find_relay_wait_s(freshness, max_s)
 
 
-def find_relay_wait_s(freshness: Freshness, most_s: float) -> float:
-    """Find the same for a gateway on which others count, seconds."""
+def find_relay_wait_s(freshness: Freshness, max_s: float) -> float:
+    """Find the poll time of a relay, on which its peers rely, seconds."""
     if not _is_promised(freshness):
-        return most_s
-    return min(most_s, WAIT_SHARE * freshness.limit_s)
+        return max_s
+    return min(max_s, WAIT_SHARE * freshness.limit_s)
 
 
 def relies_on_peers(freshness: Freshness, now: float) -> bool:
-    """Whether peers renew it, so that the store need not be asked often."""
+    """Whether peers renew the configuration, so that the store is asked less often."""
     return (
         not _is_promised(freshness) or now - freshness.peer_renewed_at <= PEERS_RENEW_S
     )
 
 
 def _is_promised(freshness: Freshness) -> bool:
-    """Whether keys hang on the age of the configuration at all."""
+    """Whether the promise applies: it is given, and requests need keys."""
     return freshness.limit_s is not None and freshness.has_keys
 
 
 def _is_behind(freshness: Freshness, now: float) -> bool:
-    """Whether a peer has told of a newer version, not too long ago to be believed."""
+    """Whether a peer sent a newer version, recently enough to be relied on."""
     if freshness.newer_version <= freshness.version:
         return False
     return now - freshness.newer_at <= (freshness.limit_s or freshness.apply_s)
--- a/src/robinspindle/core/peerdigests.py
+++ b/src/robinspindle/core/peerdigests.py
@@ -1,8 +1,8 @@
-"""What entries tell each other: the work that each has under way, and what it placed.
+"""Digests that gateways exchange: requests in flight, placements and other state.
 
-A digest tells all of it, for one entry or added up for several, so a lost one is made
-good by the next; only placements are told once, and a belief about a cache is allowed
-to be a little wrong.
+A digest contains the whole state of one gateway, or the aggregated state of several, so
+that the next digest makes up for a lost one. Only placements are sent once, as the
+estimate of what a cache holds may be slightly wrong.
 """
 
 from collections.abc import Callable, Iterable
@@ -24,36 +24,38 @@
 from robinspindle.core.usage import Account
 
 PEER_TIMEOUT_S = 1.5
-"""A peer that was not heard for this long has nothing under way as far as is known,
+"""Time without a datagram after which a peer is assumed to have no requests in flight,
 seconds: seven of the longest intervals between its datagrams."""
 
 RELAY_TIMEOUT_S = 1.0
-"""The same for a relay, seconds: five of its longest intervals. Sooner than for others,
-as those for whom it spoke are heard through the next one after 0.6 s, and would count
-twice until then."""
+"""The same for a relay, seconds: five of its longest intervals. It is shorter because
+the state of its group comes from the next relay after 0.6 s, and would count twice
+until the first relay has timed out."""
 
 MAX_PLACEMENTS = 24
-"""Placements in one datagram, so that it stays far below 64 KB and mostly whole."""
+"""Maximum number of placements in one datagram, so that it stays far below 64 KB and
+mostly arrives complete."""
 
 
 NEVER_HEARD_MS = 1 << 30
-"""Stands for a target that was not heard yet, milliseconds."""
+"""Time since the last message of a target that has not sent any yet, milliseconds."""
 
 
 CACHE_SENDERS = 2
-"""Entries that tell a newcomer what caches hold: one more than is needed, as datagrams
-are lost and the first may have just started itself."""
+"""Number of gateways that send cache contents to a gateway that has just started: one
+more than is needed, as datagrams are lost and the first sender may have just started
+itself."""
 
 
 class Load(msgspec.Struct, array_like=True):
-    """What one entry has under way at one target.
+    """The requests of one gateway that are in flight at one target.
 
     Attributes:
         lifetime: The target's lifetime.
-        in_flight: Requests.
-        work_ms: Reading that is not done yet, milliseconds, by level.
-        long_answers: Long answers that are generated.
-        heard_ms_ago: How long ago anything was heard of it, milliseconds.
+        in_flight: Number of requests.
+        work_ms: Prefill backlog by priority level, milliseconds.
+        long_answers: Number of long answers that are being decoded.
+        heard_ms_ago: Time since the last message of the target, milliseconds.
     """
 
     lifetime: str
@@ -64,13 +66,14 @@
 
 
 class Placement(msgspec.Struct, array_like=True):
-    """A prompt that one entry sent to an engine.
+    """A prompt that one gateway sent to an engine.
 
     Attributes:
         lifetime: The engine's lifetime.
-        parts: Ids and tokens of the prompt's parts in order.
-        work_ms: How long the engine should read, milliseconds; 0 where it fetches.
-        level: How urgent that is.
+        parts: Ids and numbers of tokens of the prompt's parts, in order.
+        work_ms: Estimated prefill time, milliseconds; 0 if the engine fetches the KV
+            cache instead.
+        level: Priority level of the prefill.
     """
 
     lifetime: str
@@ -80,12 +83,12 @@
 
 
 class PrefillStatistics(msgspec.Struct, array_like=True):
-    """What one entry has learnt of how fast engines read.
+    """Statistics of one gateway on how fast the engines of a service prefill.
 
     Attributes:
-        service: Their service.
-        prefill_only: Whether they only read.
-        sums: The sums over its own readings.
+        service: The service of the engines.
+        prefill_only: Whether the engines are prefill-only.
+        sums: FitSums over the gateway's own measurements, to fit the prefill model.
     """
 
     service: str
@@ -94,11 +97,11 @@
 
 
 class Cache(msgspec.Struct, array_like=True):
-    """What one engine's cache is believed to hold.
+    """The estimated contents of one engine's KV cache.
 
     Attributes:
         lifetime: The engine's lifetime.
-        parts: Ids and tokens, the least recently used first.
+        parts: Ids and numbers of tokens of prompt parts, the least recently used first.
     """
 
     lifetime: str
@@ -106,27 +109,30 @@
 
 
 class Digest(msgspec.Struct, array_like=True):
-    """What one entry has to tell, or a relay for all that tell it.
+    """The state of one gateway, or of a relay and all gateways that send to it.
 
     Attributes:
-        sender: The name of the entry, or of the relay.
-        started: When it started; tells a restarted entry from its late datagrams.
-        number: Counts up.
-        loads: All that it has under way.
-        placements: What it placed since its last datagram.
-        prefill_loads: Seconds of a reader's work that it is asked for in a second, by
+        sender: The name of the gateway, or of the relay.
+        started: When it started, Unix seconds; distinguishes a restarted gateway from
+            late datagrams of its earlier incarnation.
+        number: Sequence number of the digest.
+        loads: All requests in flight.
+        placements: Placements since the last datagram.
+        prefill_loads: Requested prefill work, seconds of one engine per second, by
             service.
-        role_changes: Engines that it ordered lately, with the role that they take.
-        prefill_statistics: What it has learnt of paces; empty for nothing new.
-        silent_targets: Targets that it lately found silent.
-        caches: What caches hold, for peers that have just started.
-        members: Names of all for whom a relay speaks; None where that is not told now.
-        topic_ends: How far each topic of the store has been read.
-        is_store_unavailable: Whether the store is away for the sender.
-        is_new: Whether the sender has just started, and is to be told of caches.
-        is_relay: Whether this is told for several.
-        requests: News of requests that crash targets; None for none.
-        era: The era of the store to which the ends belong.
+        role_changes: Engines whose role the sender changed recently, with the new role.
+        prefill_statistics: Statistics to fit the prefill model; empty if they are not
+            in this digest.
+        silent_targets: Targets that recently timed out for the sender.
+        caches: Contents of caches, for peers that have just started.
+        members: Names of all gateways that a relay's digest covers; None if they are
+            not in this digest.
+        topic_ends: The offset up to which each topic of the store has been read.
+        is_store_unavailable: Whether the store is unavailable for the sender.
+        is_new: Whether the sender has just started and needs the contents of caches.
+        is_relay: Whether the digest covers several gateways.
+        requests: Updates on requests that crash targets; None if there are none.
+        era: The store era to which `topic_ends` belongs.
     """
 
     sender: str
@@ -149,11 +155,12 @@
 
 
 class ConfigurationAge(msgspec.Struct, array_like=True):
-    """How sure an entry is that its configuration is the newest.
+    """The age of a gateway's configuration.
 
     Attributes:
         version: The version that it holds.
-        age_ms: How long ago, at the most, that was the newest, milliseconds.
+        age_ms: Maximum time since this was known to be the newest version,
+            milliseconds.
     """
 
     version: int
@@ -161,19 +168,18 @@
 
 
 class Facts(msgspec.Struct, array_like=True):
-    """What an entry knows besides its work, told to one receiver.
+    """State of a gateway, other than its digest, for one receiver.
 
     Attributes:
-        last_received: Number of the newest digest that the sender has of the receiver,
-            whoever speaks for whom; None for none. All of this was true after that
-            came.
-        configuration_age: The age of its configuration; None where no key hangs on
-            that.
-        wall_ms: Its time of day, Unix milliseconds.
-        agreed_ms: What it believes the time of day to be.
-        counts: Requests that began to run, as far as the receiver has not confirmed
-            that it knows of them.
-        reported: Windows whose usage the platform has taken lately.
+        last_received: Number of the newest digest that the sender received from the
+            receiver, directly or from a relay; None if there is none. All facts were
+            true after that digest came.
+        configuration_age: The age of the sender's configuration; None if no key depends
+            on it.
+        wall_ms: The sender's time of day, Unix milliseconds.
+        agreed_ms: The sender's estimate of the time of day, Unix milliseconds.
+        counts: Counts of requests that the receiver has not acknowledged.
+        reported: Windows whose usage report the platform has accepted recently.
     """
 
     last_received: int | None = None
@@ -188,11 +194,11 @@
     """One datagram.
 
     Attributes:
-        sender: The name of the entry that sends it.
-        digests: What it tells.
-        echo: Number of the newest digest that it has of the receiver; None to one whom
-            it does not speak for.
-        facts: What it knows besides; None where nothing hangs on it.
+        sender: The name of the gateway that sends it.
+        digests: The digests.
+        echo: Number of the newest digest that the sender received from the receiver;
+            None if the sender is not the receiver's relay.
+        facts: Other state of the sender; None if nothing depends on it.
     """
 
     sender: str
@@ -206,15 +212,15 @@
     """What is known of one peer.
 
     Attributes:
-        started: Its start, as it tells.
-        number: Number of its newest digest.
-        heard_at: When that came, steady seconds.
-        lifetimes: Targets at which it had work.
-        prefill_loads: Seconds of a reader's work that it is asked for in a second, by
+        started: When it started, as it sent it, Unix seconds.
+        number: Sequence number of its newest digest.
+        heard_at: When that digest was received, monotonic seconds.
+        lifetimes: Targets at which it has requests in flight.
+        prefill_loads: Requested prefill work, seconds of one engine per second, by
             service.
-        is_relay: Whether it speaks for others too.
-        members: Names of those.
-        is_store_unavailable: Whether the store is away for it.
+        is_relay: Whether its digests cover other gateways too.
+        members: Names of the gateways that its digests cover.
+        is_store_unavailable: Whether the store is unavailable for it.
     """
 
     started: float = 0.0
@@ -233,10 +239,10 @@
 def apply_digest(
     peers: dict[str, PeerView], digest: Digest, now: float, find: FindEngine
 ) -> bool:
-    """Take a peer's digest in.
+    """Apply a peer's digest to the local view of the peer and of the engines.
 
     Returns:
-        Whether it was newer than what was known.
+        Whether the digest was newer than the last one of the peer.
     """
     peer = peers.setdefault(digest.sender, PeerView())
     if (digest.started, digest.number) <= (peer.started, peer.number):
@@ -260,30 +266,30 @@
     return True
 
 
-def is_cache_sender(name: str, others: Iterable[str], newcomer: str) -> bool:
-    """Whether an entry is one of those that tell a newcomer what caches hold."""
-    heard = sorted({name, *others} - {newcomer})
-    return name in heard[:CACHE_SENDERS]
+def is_cache_sender(name: str, others: Iterable[str], starting: str) -> bool:
+    """Whether a gateway sends cache contents to one that has just started."""
+    candidates = sorted({name, *others} - {starting})
+    return name in candidates[:CACHE_SENDERS]
 
 
 def remove_timed_out_peers(
     peers: dict[str, PeerView], now: float, find: FindEngine
 ) -> list[str]:
-    """Forget the load of peers that fell silent, and return their names."""
-    silent = [name for name, peer in peers.items() if _is_silent(peer, now)]
-    for name in silent:
+    """Remove the peers that timed out, with their load, and return their names."""
+    expired = [name for name, peer in peers.items() if _has_timed_out(peer, now)]
+    for name in expired:
         forget_peer(peers, name, find)
-    return silent
+    return expired
 
 
 def forget_peer(peers: dict[str, PeerView], name: str, find: FindEngine) -> None:
-    """Forget a peer and its load."""
+    """Remove a peer and its load."""
     _replace_loads(peers.pop(name), name, [], find)
 
 
-def _is_silent(peer: PeerView, now: float) -> bool:
-    most_s = RELAY_TIMEOUT_S if peer.is_relay else PEER_TIMEOUT_S
-    return now - peer.heard_at > most_s
+def _has_timed_out(peer: PeerView, now: float) -> bool:
+    timeout_s = RELAY_TIMEOUT_S if peer.is_relay else PEER_TIMEOUT_S
+    return now - peer.heard_at > timeout_s
 
 
 def _replace_loads(
--- a/src/robinspindle/core/peervalidation.py
+++ b/src/robinspindle/core/peervalidation.py
@@ -1,7 +1,7 @@
-"""Whether what a peer tells can be believed at all: shapes and ranges.
+"""Validation of what a peer sends: shapes and ranges.
 
-Datagrams may be forged or come from another release; sums over what they tell must
-neither fail nor be spoilt for good.
+Datagrams may be forged or come from another release. Their values must not make the
+aggregation fail, nor corrupt its totals permanently.
 """
 
 import math
@@ -21,38 +21,39 @@
 from robinspindle.core.usage import is_valid_account
 
 MAX_REQUESTS = 100_000
-"""More requests at one engine than this are no count of requests: some hundred times
-what the largest of today's engines takes."""
+"""Maximum number of requests at one engine: about a hundred times what the largest
+current engines accept."""
 
 MAX_WORK_MS = 3_600_000
-"""More work at one engine than an hour is no work that is under way, milliseconds."""
+"""Maximum prefill backlog of one engine, milliseconds."""
 
 MAX_TOKENS = 100_000_000
-"""No part of a prompt has more tokens: hundreds of times an engine's memory."""
+"""Maximum number of tokens in a prompt part: hundreds of times an engine's memory."""
 
 MAX_AGE_MS = 1 << 40
-"""No configuration has been checked longer ago, milliseconds: 30 years."""
+"""Maximum age of a configuration, milliseconds: 30 years."""
 
 MAX_WALL_MS = 1 << 43
-"""No time of day is later, Unix milliseconds: the year 2248."""
+"""Latest valid time of day, Unix milliseconds: the year 2248."""
 
 MAX_SUM = 1e12
-"""No sum over readings that fade is larger: 100 readings of weight 1 each, scaled."""
+"""Maximum value of a decaying sum over measurements: 100 measurements of weight 1,
+scaled."""
 
 
 def find_fault(digest: Digest) -> str | None:
-    """Find what is wrong with a digest; None where it can be believed."""
+    """Find which part of a digest is invalid; None if it is valid."""
     if digest.number < 0 or not math.isfinite(digest.started):
         return "number or start"
-    if not all(_is_load(load) for load in digest.loads):
+    if not all(_is_load_valid(load) for load in digest.loads):
         return "loads"
-    if not all(_is_placement(placement) for placement in digest.placements):
+    if not all(_is_placement_valid(placement) for placement in digest.placements):
         return "placements"
     if not all(0.0 <= rate < MAX_SUM for rate in digest.prefill_loads.values()):
         return "rates"
-    if not all(_are_sums(told.sums) for told in digest.prefill_statistics):
+    if not all(_are_sums_valid(one.sums) for one in digest.prefill_statistics):
         return "paces"
-    if not all(_is_cache(cache) for cache in digest.caches):
+    if not all(_is_cache_valid(cache) for cache in digest.caches):
         return "caches"
     if not 0 <= digest.era <= MOST_ERA:
         return "era"
@@ -62,20 +63,20 @@
 
 
 def are_facts_valid(facts: Facts) -> bool:
-    """Whether what a peer tells besides its work can be believed."""
+    """Whether the facts that a peer sent are valid."""
     clocks = (facts.wall_ms, facts.agreed_ms)
     return (
-        (facts.configuration_age is None or _is_checked(facts.configuration_age))
+        (facts.configuration_age is None or _is_age_valid(facts.configuration_age))
         and all(0 <= ms <= MAX_WALL_MS for ms in clocks)
         and all(is_valid_account(account) for account in facts.counts)
     )
 
 
-def _is_checked(checked: ConfigurationAge) -> bool:
-    return checked.version >= 0 and 0 <= checked.age_ms <= MAX_AGE_MS
+def _is_age_valid(age: ConfigurationAge) -> bool:
+    return age.version >= 0 and 0 <= age.age_ms <= MAX_AGE_MS
 
 
-def _is_load(load: Load) -> bool:
+def _is_load_valid(load: Load) -> bool:
     return (
         len(load.work_ms) == LEVELS
         and all(0 <= ms <= MAX_WORK_MS for ms in load.work_ms)
@@ -85,7 +86,7 @@
     )
 
 
-def _is_placement(placement: Placement) -> bool:
+def _is_placement_valid(placement: Placement) -> bool:
     return (
         0 <= placement.work_ms <= MAX_WORK_MS
         and 0 <= placement.level < LEVELS
@@ -93,10 +94,10 @@
     )
 
 
-def _is_cache(cache: Cache) -> bool:
+def _is_cache_valid(cache: Cache) -> bool:
     return all(0 <= tokens <= MAX_TOKENS for _, tokens in cache.parts)
 
 
-def _are_sums(sums: FitSums) -> bool:
+def _are_sums_valid(sums: FitSums) -> bool:
     values = (sums.weight, *sums.products, *sums.results)
     return all(0.0 <= value < MAX_SUM for value in values)
--- a/src/robinspindle/core/presence.py
+++ b/src/robinspindle/core/presence.py
@@ -1,20 +1,21 @@
-"""Since when each other gateway has been heard without a gap."""
+"""Since when each other gateway has been reachable without interruption."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 REMEMBERED_S = 15.0
-"""How long a gateway that fell silent is remembered, seconds: longer than a cut or a
-freeze may last that it comes back from with counts that nobody else has."""
+"""How long an unreachable gateway is remembered, seconds: longer than a network
+partition or a suspension after which it returns with counts that no other gateway
+has."""
 
 
 @dataclass
 class Presence:
-    """When one other gateway was heard.
+    """When one other gateway was reachable.
 
     Attributes:
-        since: Since when it has been heard without a gap, steady seconds.
-        heard_at: When it was last heard, steady seconds.
+        since: Since when it has been reachable without interruption, monotonic seconds.
+        heard_at: When it was last reachable, monotonic seconds.
     """
 
     since: float
@@ -23,12 +24,14 @@
 
 @dataclass
 class Presences:
-    """When the other gateways were heard.
+    """When the other gateways were reachable.
 
     Attributes:
-        known: Those that were heard lately, by name.
-        checked_at: When it was last looked who is heard, steady seconds; None before.
-        first_checked_at: When it was first looked; who was heard before is not known.
+        known: The gateways that were reachable recently, by name.
+        checked_at: When the reachable gateways were last noted, monotonic seconds; None
+            before the first time.
+        first_checked_at: When they were first noted, monotonic seconds; which gateways
+            were reachable before is not known.
     """
 
     known: dict[str, Presence] = field(default_factory=dict)
@@ -37,7 +40,7 @@
 
 
 def note_heard(presences: Presences, names: Iterable[str], now: float) -> None:
-    """Take note of who is heard at one look, and forget who was not for long."""
+    """Note the gateways that are reachable now; forget the long unreachable ones."""
     if presences.first_checked_at is None:
         presences.first_checked_at = now
     for name in names:
@@ -55,21 +58,23 @@
 
 
 def count_heard_within(presences: Presences, now: float, within_s: float) -> int:
-    """Count the gateways that were heard within a time, seconds."""
-    return sum(now - one.heard_at <= within_s for one in presences.known.values())
+    """Count the gateways that were reachable within the last `within_s` seconds."""
+    return sum(
+        now - presence.heard_at <= within_s for presence in presences.known.values()
+    )
 
 
 def hears_all(
-    presences: Presences, named: Iterable[str], now: float, least_s: float
+    presences: Presences, named: Iterable[str], now: float, min_s: float
 ) -> bool:
-    """Whether all gateways that were heard lately have been back for a while.
+    """Whether all gateways that were reachable recently have been back for a while.
 
     Args:
-        presences: When they were heard.
-        named: All that there should be. Who looks for the first time remembers nobody,
-            and takes these for a while.
-        now: The time of the last look, steady seconds.
-        least_s: How long each has to be heard without a gap, seconds.
+        presences: When they were reachable.
+        named: All gateways that should exist. A gateway that has just started remembers
+            none, and expects these for the first `REMEMBERED_S` seconds.
+        now: The time of the last call of `note_heard`, monotonic seconds.
+        min_s: How long each must have been reachable without interruption, seconds.
     """
     names = set(presences.known)
     first_checked_at = (
@@ -77,11 +82,11 @@
     )
     if now - first_checked_at < REMEMBERED_S:
         names |= set(named)
-    return all(_is_back(presences, name, now, least_s) for name in names)
+    return all(_is_present(presences, name, now, min_s) for name in names)
 
 
-def _is_back(presences: Presences, name: str, now: float, least_s: float) -> bool:
+def _is_present(presences: Presences, name: str, now: float, min_s: float) -> bool:
     known = presences.known.get(name)
     if known is None or known.heard_at != presences.checked_at:
         return False
-    return now - known.since >= least_s
+    return now - known.since >= min_s
--- a/src/robinspindle/core/quarantine.py
+++ b/src/robinspindle/core/quarantine.py
@@ -1,9 +1,9 @@
-"""Quarantine: requests that are turned away because they crash targets.
+"""Quarantine: requests that are rejected because they crash targets.
 
-Every gateway keeps the whole list. It travels with the gateways' datagrams, and in the
-store it outlasts them all. An operator releases a request; one run after a while may
-clear it too, as an innocent one that is turned away for good is worse than one crash
-more.
+Every gateway keeps the whole list. Gateways exchange entries in their datagrams, and
+the store keeps them when gateways stop. An operator can release a request. A successful
+trial run can also clear it, as rejecting an innocent request permanently is worse than
+one more crash.
 """
 
 from collections.abc import Iterable
@@ -17,33 +17,36 @@
 from robinspindle.exceptions import BadDocumentError
 
 FIRST_TRIAL_S = 300.0
-"""After so long in quarantine a request may run once more, seconds; then after twice as
-long each time. It costs a target each time if the request is to blame."""
+"""Time in quarantine after which a request may run once, seconds. It doubles with each
+trial. Each trial costs a target if the request is the cause."""
 
 MAX_TRIALS = 3
-"""Trials in all: with the crashes before them six, three of them after the verdict was
-known to all, as many as the platform allows. Then only an operator releases it."""
+"""Maximum number of trials. With the crashes before them there are six crashes, three
+of them after all gateways knew the entry: as many as the platform allows. After that
+only an operator can release the request."""
 
 MAX_RETRY_S = 3600.0
-"""The longest hint that a caller gets, seconds: nobody keeps a request for longer."""
+"""Maximum retry delay that a caller is sent, seconds, as no caller keeps a request for
+longer."""
 
 MAX_ENTRIES = 256
-"""Requests in quarantine that are kept, 0.2 MB: 75 times what was ever seen at once.
-The oldest falls out first, and has to crash targets anew to come back."""
+"""Maximum number of entries that are kept, 0.2 MB: 75 times the most that were ever in
+quarantine at once. The oldest one is removed first, and its request has to crash
+targets again to return."""
 
 MAX_NAMED_CRASHES = 8
-"""Crashes that are named as the reason, the first ones."""
+"""Maximum number of crashes that an entry names as its reason."""
 
 MAX_NAME_LENGTH = 200
-"""Characters of a request's host and path that are kept for operators."""
+"""Maximum length of the host and path that an entry keeps for operators, characters."""
 
 KEY_PREFIX = "quarantine/"
-"""What the keys of quarantined requests in the store begin with; the rest is the
+"""Prefix of the store keys of quarantined requests; the rest of a key is the
 fingerprint in hexadecimal digits."""
 
 
 class Standing(Enum):
-    """How a request stands by the newest that was said of it."""
+    """The status of a request by its newest entry."""
 
     QUARANTINED = "quarantined"
     RELEASED = "released"
@@ -51,15 +54,16 @@
 
 @dataclass(frozen=True)
 class Entry:
-    """What was last said of one request.
+    """The newest decision on one request.
 
     Attributes:
         fingerprint: The request.
-        standing: Whether it is turned away.
-        at_ms: When that was said, Unix milliseconds; a later word replaces it.
-        lifetimes: Targets that it crashed.
-        name: Its host and path, for operators; empty where they are not known.
-        trials: Runs that it was given since it was first quarantined.
+        standing: Whether it is quarantined or released.
+        at_ms: When that was decided, Unix milliseconds; a later entry replaces an
+            earlier one.
+        lifetimes: Lifetimes of targets that it crashed.
+        name: Its host and path, for operators; empty if they are not known.
+        trials: Number of trial runs since it was first quarantined.
     """
 
     fingerprint: Fingerprint
@@ -72,13 +76,13 @@
 
 @dataclass
 class Quarantine:
-    """What is known of requests in quarantine and of those that were released.
+    """The known entries of quarantined and released requests.
 
     Attributes:
         entries: By fingerprint, the oldest first.
-        head_hashes: Marks of all that are turned away.
-        stored: What the store holds, by fingerprint.
-        own: When what this gateway said itself was said, by fingerprint.
+        head_hashes: Head hashes of all quarantined requests.
+        stored: The entries that the store holds, by fingerprint.
+        own: Times of the entries that this gateway decided itself, by fingerprint.
     """
 
     entries: dict[Fingerprint, Entry] = field(default_factory=dict)
@@ -88,10 +92,10 @@
 
 
 def merge_entry(quarantine: Quarantine, entry: Entry) -> bool:
-    """Take in what is said of a request.
+    """Merge an entry into the known ones.
 
     Returns:
-        Whether it is news: later than what was known.
+        Whether it is later than the known entry of its request.
     """
     known = quarantine.entries.get(entry.fingerprint)
     if known is not None and known.at_ms >= entry.at_ms:
@@ -106,22 +110,26 @@
 
 
 def note_stored(quarantine: Quarantine, entry: Entry) -> None:
-    """Take note that the store holds an entry."""
+    """Note that the store holds an entry."""
     quarantine.stored[entry.fingerprint] = entry
     _keep_newest(quarantine.stored)
 
 
 def merge_own_entry(quarantine: Quarantine, entry: Entry) -> bool:
-    """Take in what this gateway says of a request itself; whether it is news."""
-    is_news = merge_entry(quarantine, entry)
-    if is_news:
+    """Merge an entry that this gateway decided itself.
+
+    Returns:
+        Whether it is later than the known entry of its request.
+    """
+    is_new = merge_entry(quarantine, entry)
+    if is_new:
         quarantine.own[entry.fingerprint] = entry.at_ms
         _keep_newest(quarantine.own)
-    return is_news
+    return is_new
 
 
 def is_own(quarantine: Quarantine, entry: Entry) -> bool:
-    """Whether this gateway said an entry itself."""
+    """Whether this gateway decided an entry itself."""
     return quarantine.own.get(entry.fingerprint) == entry.at_ms
 
 
@@ -131,21 +139,22 @@
 
 
 def note_not_stored(quarantine: Quarantine, fingerprint: Fingerprint) -> None:
-    """Take note that the store lost its entry of a request; the request stays here.
+    """Note that the store lost the entry of a request, which stays quarantined here.
 
-    The store may return from an old copy, and only an operator's word releases.
+    The store may have been restored from an old backup, and only an operator's entry
+    releases a request.
     """
     quarantine.stored.pop(fingerprint, None)
 
 
 def list_quarantined(quarantine: Quarantine) -> list[Entry]:
-    """List the entries of all requests that are turned away."""
+    """List the entries of all quarantined requests."""
     entries = quarantine.entries.values()
     return [e for e in entries if e.standing is Standing.QUARANTINED]
 
 
 def find_quarantined(quarantine: Quarantine, fingerprint: Fingerprint) -> Entry | None:
-    """Find why a request is turned away; None if it is not."""
+    """Find the entry of a quarantined request; None if it is not quarantined."""
     entry = quarantine.entries.get(fingerprint)
     if entry is None or entry.standing is not Standing.QUARANTINED:
         return None
@@ -153,7 +162,7 @@
 
 
 def list_unstored(quarantine: Quarantine) -> list[Entry]:
-    """List what the store does not hold yet, or not any more."""
+    """List the entries that the store doesn't hold yet, or lost."""
     return [
         entry
         for fingerprint, entry in quarantine.entries.items()
@@ -163,10 +172,10 @@
 
 
 def find_trial_at_ms(entry: Entry) -> int | None:
-    """Find from when a quarantined request may run once, Unix milliseconds.
+    """Find when a quarantined request may run once, Unix milliseconds.
 
     Returns:
-        None where only an operator releases it.
+        None if only an operator can release it.
     """
     if entry.trials >= MAX_TRIALS:
         return None
@@ -174,13 +183,13 @@
 
 
 def may_try(entry: Entry, now_ms: int) -> bool:
-    """Whether a quarantined request may run once."""
+    """Whether a quarantined request may run once now."""
     trial_at_ms = find_trial_at_ms(entry)
     return trial_at_ms is not None and now_ms >= trial_at_ms
 
 
 def find_retry_s(entry: Entry, now_ms: int) -> float:
-    """Find when a quarantined request may run again, seconds from now."""
+    """Find the time until a quarantined request may run again, seconds."""
     trial_at_ms = find_trial_at_ms(entry)
     if trial_at_ms is None:
         return MAX_RETRY_S
@@ -188,7 +197,7 @@
 
 
 def begin_trial(entry: Entry, now_ms: int) -> Entry:
-    """Make the entry of a request that is being tried; it is turned away elsewhere."""
+    """Make the entry of a request on trial, which other gateways go on rejecting."""
     begun = replace(entry, at_ms=now_ms, trials=entry.trials + 1)
     return supersede(entry, begun)
 
@@ -196,26 +205,26 @@
 def make_entry(
     fingerprint: Fingerprint, lifetimes: Iterable[str], name: str, now_ms: int
 ) -> Entry:
-    """Make the entry of a request that is to be turned away from now on."""
-    told = tuple(sorted(lifetimes)[:MAX_NAMED_CRASHES])
+    """Make the entry of a request that is rejected from now on."""
+    named = tuple(sorted(lifetimes)[:MAX_NAMED_CRASHES])
     name = name[:MAX_NAME_LENGTH]
-    return Entry(fingerprint, Standing.QUARANTINED, now_ms, told, name)
+    return Entry(fingerprint, Standing.QUARANTINED, now_ms, named, name)
 
 
 def adds_crashes(entry: Entry, lifetimes: set[str]) -> bool:
-    """Whether crashes are known that an entry does not name, and has room for."""
+    """Whether an entry has room for crashes that it doesn't name yet."""
     has_room = len(entry.lifetimes) < MAX_NAMED_CRASHES
     return has_room and not lifetimes <= set(entry.lifetimes)
 
 
 def supersede(known: Entry | None, entry: Entry) -> Entry:
-    """Make an entry later than what was said of its request before.
+    """Make an entry later than the known entry of its request.
 
-    Times of day differ between VMs, and may go back.
+    The times of day of VMs differ and may be set back.
 
     Args:
-        known: What was said before; None for nothing.
-        entry: What is said now.
+        known: The known entry; None if there is none.
+        entry: The new entry.
     """
     if known is None:
         return entry
@@ -238,32 +247,32 @@
 
 
 def make_key(fingerprint: Fingerprint) -> str:
-    """Make the key under which the store holds a request's entry."""
+    """Make the store key of a request's entry."""
     return KEY_PREFIX + fingerprint.hex()
 
 
 def is_key(key: str) -> bool:
-    """Whether a key of the store is one of a request's entry."""
+    """Whether a store key is that of a request's entry."""
     return key.startswith(KEY_PREFIX)
 
 
 def read_key(key: str) -> Fingerprint:
-    """Read the fingerprint from a key.
+    """Parse the fingerprint in a store key.
 
     Raises:
-        BadDocumentError: When there is none.
+        BadDocumentError: If the key contains no fingerprint.
     """
     try:
         value = bytes.fromhex(key.removeprefix(KEY_PREFIX))
     except ValueError as error:
-        raise BadDocumentError(f"no fingerprint: {error}") from None
+        raise BadDocumentError(f"key contains no fingerprint: {error}") from None
     if not is_fingerprint(value):
-        raise BadDocumentError("no fingerprint: its length is wrong")
+        raise BadDocumentError("key contains no fingerprint: wrong length")
     return Fingerprint(value)
 
 
 def encode_entry(entry: Entry) -> bytes:
-    """Write what the store holds of an entry, besides its key."""
+    """Encode an entry for the store, without its fingerprint."""
     record = _Record(
         entry.standing.value,
         entry.at_ms,
@@ -275,10 +284,10 @@
 
 
 def decode_entry(fingerprint: Fingerprint, value: bytes) -> Entry:
-    """Read what the store holds of a request.
+    """Decode an entry from the store.
 
     Raises:
-        BadDocumentError: When it can't be read or is out of all range.
+        BadDocumentError: If it is malformed or out of range.
     """
     try:
         record = msgspec.json.decode(value, type=_Record)
@@ -300,7 +309,7 @@
 
 
 def find_fault(entry: Entry) -> str | None:
-    """Find what is wrong with an entry that was told; None where it can be believed."""
+    """Find which part of a received entry is invalid; None if it is valid."""
     if not is_fingerprint(entry.fingerprint):
         return "fingerprint"
     if entry.at_ms < 0:
@@ -313,5 +322,5 @@
 
 
 def is_lifetime(text: str) -> bool:
-    """Whether a text can name a lifetime."""
+    """Whether a text has the form of a lifetime."""
     return is_id(text.partition("@")[0])
--- a/src/robinspindle/core/relays.py
+++ b/src/robinspindle/core/relays.py
@@ -1,14 +1,16 @@
-"""Which gateway passes news on for which: groups of gateways and their relays.
-
-Were each gateway to tell all others, what one does would grow with their number. So the
-gateways of an availability zone form groups. In each, one is the relay: the others tell
-it alone; it adds their news up, exchanges the sum with the relays of the other groups
-and passes theirs on to its group. A datagram from one gateway to another takes at most
-three hops.
-
-Nobody elects a relay. All order the members of a group alike, each chooses for itself
-the first that answers it, and whoever is asked serves. Two relays in one group do no
-harm, since each speaks for those alone that tell it their news.
+"""Groups of gateways, and the choice of the relay in each group.
+
+If each gateway sent its state to every other one, the work of each would grow with
+their number. The gateways of an availability zone therefore form groups. One member of
+each group is the relay: the other members send their digests to it alone. It
+aggregates them, exchanges the totals with the relays of the other groups and forwards
+the other groups' totals to its own group. Information takes at most three hops from
+one gateway to another.
+
+There is no election. All gateways rank the members of a group in the same order, each
+one uses the first member that it receives datagrams from, and any gateway acts as relay
+for those that send to it. Two relays in one group do no harm, as each one aggregates
+the digests of only those gateways that send to it.
 """
 
 import math
@@ -16,41 +18,43 @@
 from dataclasses import dataclass, field
 
 GROUP_MEMBERS = 16
-"""The most gateways in a group. A relay hears its group and the other relays: with 300
-gateways in five zones 34 senders, where one relay a zone would hear 64."""
+"""Maximum number of gateways in a group. A relay receives from its group and from the
+other relays: with 300 gateways in five zones from 34 senders, where one relay for each
+zone would receive from 64."""
 
 RELAY_SILENCE_TIMEOUT_S = 0.6
-"""How long a relay may stay silent before the next is chosen, seconds: three of the
-longest intervals between its datagrams, so that two may be lost."""
+"""How long a relay may send nothing before the next one is chosen, seconds: three of
+the longest intervals between its datagrams, so that two may be lost."""
 
 RELAY_ECHO_TIMEOUT_S = 1.2
-"""How long a relay may be heard without having heard us, seconds: twice as long, as it
-takes two datagrams to know."""
+"""How long a relay may go without acknowledging new datagrams, seconds: twice the
+silence timeout, as an acknowledgement takes two datagrams, there and back."""
 
 RELAY_RETRY_DELAY_S = 3.0
-"""How long a relay that failed is passed over, seconds, also where it is heard again:
-one that is heard but deaf would otherwise be tried every second."""
+"""How long a failed relay is not chosen again, seconds, even if it sends datagrams
+again: a relay that sends but doesn't receive would otherwise be retried every
+second."""
 
 MIN_INTERVAL_S = 0.02
-"""Least time between two tellings, seconds: about the time in which a prompt is read,
-so that a belief is at most one prompt behind."""
+"""Minimum interval between two digests, seconds: about the time to prefill a prompt, so
+that the estimates of other gateways are at most one prompt behind."""
 
 RELAY_RATE = 200.0
-"""Datagrams that a relay sends in a second at the most, and receives: half of what each
-gateway sent when all told all others, and the interval that follows from it for 68
-gateways in five zones is 0.1 s."""
+"""Maximum number of datagrams per second that a relay sends, and that it receives: half
+of what each gateway sent when all sent to all. The resulting interval for 68 gateways
+in five zones is 0.1 s."""
 
 
 @dataclass(frozen=True)
 class Member:
-    """A gateway, as it introduces itself.
+    """A gateway, as it announces itself.
 
     Attributes:
         name: Its name.
-        host: IP number at which it takes datagrams.
-        port: The port.
+        host: IP address at which it receives datagrams.
+        port: UDP port at which it receives datagrams.
         zone: Its availability zone.
-        capacity: Its processor's speed against one full core.
+        capacity: Its CPU speed, relative to one full core.
     """
 
     name: str
@@ -65,8 +69,8 @@
     """The groups that all known gateways form.
 
     Attributes:
-        ranked: Names of each group's members, the first choice as relay first.
-        group_numbers: The number of each gateway's group, by name.
+        ranked: Names of the members of each group, the preferred relay first.
+        group_numbers: The number of each gateway's group, by the gateway's name.
     """
 
     ranked: tuple[tuple[str, ...], ...] = ()
@@ -75,12 +79,13 @@
 
 @dataclass
 class RelayContact:
-    """What is known of one gateway as a relay.
+    """What is known of one gateway in its role as relay.
 
     Attributes:
-        heard_at: When it was heard as a relay, steady seconds.
-        echoed_at: When it last showed that it had heard us, steady seconds.
-        failed_at: When it was given up, steady seconds.
+        heard_at: When the last datagram came from it as a relay, monotonic seconds.
+        echoed_at: When it last acknowledged a new datagram of this gateway, monotonic
+            seconds.
+        failed_at: When it last failed, monotonic seconds.
     """
 
     heard_at: float = -math.inf
@@ -90,11 +95,11 @@
 
 @dataclass
 class RelayChoice:
-    """Whom a gateway tells its news to.
+    """The relay to which a gateway sends its digests.
 
     Attributes:
         relay: Name of the relay; empty before the first choice.
-        since: Since when, steady seconds.
+        since: When it was chosen, monotonic seconds.
         contacts: What is known of possible relays, by name.
     """
 
@@ -104,15 +109,15 @@
 
 
 def encode_member(member: Member) -> bytes:
-    """Write what a gateway tells of itself, without its name."""
+    """Encode what a gateway announces of itself, without its name."""
     text = f"{member.host}:{member.port} {member.zone} {member.capacity:g}"
     return text.encode()
 
 
 def decode_member(name: str, value: bytes) -> Member | None:
-    """Read what a gateway tells of itself; None for what can't be read.
+    """Decode what a gateway announces of itself; None if it is malformed.
 
-    The address alone is enough: an earlier release tells no more.
+    The address alone is enough, as an earlier release announces nothing else.
     """
     words = value.decode("utf-8", "replace").split(" ")
     host, _, port = words[0].rpartition(":")
@@ -129,40 +134,41 @@
 def make_groups(members: Iterable[Member]) -> Groups:
     """Divide gateways into groups, each within one availability zone.
 
-    Those with the most capacity are dealt out first, so that each group has one of
-    them as its first choice: a relay does as much as its group and the other relays
-    together.
+    The gateways with the most capacity are distributed over the groups first, so that
+    each group has one of them as its preferred relay: a relay does as much work as its
+    group and the other relays together.
     """
     zones: dict[str, list[Member]] = {}
     for member in members:
         zones.setdefault(member.zone, []).append(member)
     ranked: list[tuple[str, ...]] = []
-    for _, inside in sorted(zones.items()):
-        inside.sort(key=lambda member: (-member.capacity, member.name))
-        count = math.ceil(len(inside) / GROUP_MEMBERS)
+    for _, zone_members in sorted(zones.items()):
+        zone_members.sort(key=lambda member: (-member.capacity, member.name))
+        count = math.ceil(len(zone_members) / GROUP_MEMBERS)
         ranked += [
-            tuple(member.name for member in inside[start::count])
+            tuple(member.name for member in zone_members[start::count])
             for start in range(count)
         ]
-    of = {name: number for number, names in enumerate(ranked) for name in names}
-    return Groups(tuple(ranked), of)
+    numbers = {name: number for number, names in enumerate(ranked) for name in names}
+    return Groups(tuple(ranked), numbers)
 
 
 def find_interval(groups: Groups) -> float:
-    """Find the least time between two tellings, seconds; the same for all gateways."""
+    """Find the minimum interval between two digests, seconds; the same for all."""
     largest = max((len(names) for names in groups.ranked), default=1)
     others = len(groups.ranked) - 1
     return max(MIN_INTERVAL_S, (largest - 1 + others) / RELAY_RATE)
 
 
 def note_heard(choice: RelayChoice, name: str, now: float, has_heard_us: bool) -> None:
-    """Take note that a gateway was heard as a relay.
+    """Note that a datagram came from a gateway that acts as a relay.
 
     Args:
-        choice: What is known of relays.
+        choice: What is known of relays; changed in place.
         name: The gateway.
-        now: The present time, steady seconds.
-        has_heard_us: Whether it shows that it has heard more of us than before.
+        now: The current time, monotonic seconds.
+        has_heard_us: Whether it acknowledges a newer datagram of this gateway than
+            before.
     """
     contact = choice.contacts.setdefault(name, RelayContact())
     contact.heard_at = now
@@ -173,20 +179,20 @@
 def choose_relay(
     choice: RelayChoice, ranked: tuple[str, ...], own: str, now: float
 ) -> bool:
-    """Choose whom a gateway tells its news to: the first in order that has not failed.
+    """Choose the relay of a gateway: the first one in rank order that has not failed.
 
     Args:
-        choice: The choice so far; changed in place.
-        ranked: The members of the gateway's group in order.
-        own: The gateway's own name; who comes to itself is a relay.
-        now: The present time, steady seconds.
+        choice: The current choice; changed in place.
+        ranked: The members of the gateway's group in rank order.
+        own: The gateway's own name; a gateway that chooses itself is a relay.
+        now: The current time, monotonic seconds.
 
     Returns:
         Whether the choice changed.
     """
-    _give_up_silent(choice, own, now)
+    _fail_unreachable(choice, own, now)
     relay = next(
-        (name for name in ranked if name == own or _may_relay(choice, name, now)), own
+        (name for name in ranked if name == own or _is_eligible(choice, name, now)), own
     )
     if relay == choice.relay:
         return False
@@ -194,18 +200,20 @@
     return True
 
 
-def _give_up_silent(choice: RelayChoice, own: str, now: float) -> None:
-    """Give the present relay up if it is silent or deaf."""
+def _fail_unreachable(choice: RelayChoice, own: str, now: float) -> None:
+    """Mark the current relay as failed if it sends nothing or receives nothing."""
     if choice.relay in ("", own):
         return
     contact = choice.contacts.setdefault(choice.relay, RelayContact())
-    is_silent = now - max(contact.heard_at, choice.since) > RELAY_SILENCE_TIMEOUT_S
-    is_deaf = now - max(contact.echoed_at, choice.since) > RELAY_ECHO_TIMEOUT_S
-    if is_silent or is_deaf:
+    has_timed_out = now - max(contact.heard_at, choice.since) > RELAY_SILENCE_TIMEOUT_S
+    is_unacknowledged = (
+        now - max(contact.echoed_at, choice.since) > RELAY_ECHO_TIMEOUT_S
+    )
+    if has_timed_out or is_unacknowledged:
         contact.failed_at = now
 
 
-def _may_relay(choice: RelayChoice, name: str, now: float) -> bool:
+def _is_eligible(choice: RelayChoice, name: str, now: float) -> bool:
     contact = choice.contacts.get(name)
     if contact is None or contact.failed_at == -math.inf:
         return True
--- a/src/robinspindle/core/retransmission.py
+++ b/src/robinspindle/core/retransmission.py
@@ -1,4 +1,4 @@
-"""News that are told several times, as datagrams are lost."""
+"""Repeated sending of updates to other gateways, as datagrams may be lost."""
 
 from collections.abc import Hashable
 from dataclasses import dataclass, field
@@ -8,18 +8,18 @@
 
 TRANSMISSIONS = 4
 RETRANSMIT_INTERVAL_S = 0.15
-"""How often news are told, and the least time between, seconds: at three lost datagrams
-in a hundred and three hops, one of 7,000 news is missed by somebody, and all are told
-well within a second."""
+"""How often an update is sent, and the minimum time between two transmissions, seconds.
+With 3 % of the datagrams lost and three hops, one of 7,000 updates doesn't reach some
+gateway, and all updates are sent well within a second."""
 
 
 @dataclass
 class Retransmission:
-    """How one piece of news is still to be told.
+    """The transmissions of one update that remain.
 
     Attributes:
-        due_at: When it is told next, steady seconds.
-        left: How many times it is still told.
+        due_at: When it is sent next, monotonic seconds.
+        left: How many times it is still sent.
     """
 
     due_at: float
@@ -28,28 +28,31 @@
 
 @dataclass
 class Retransmissions(Generic[Key]):
-    """All news that are still to be told, by a key."""
+    """All updates that are still being sent, by a key."""
 
     due: dict[Key, Retransmission] = field(default_factory=dict)
 
 
-def start_sending(tellings: Retransmissions[Key], key: Key, now: float) -> None:
-    """Tell news from now on, also where the same were told before."""
-    tellings.due[key] = Retransmission(now)
+def start_sending(updates: Retransmissions[Key], key: Key, now: float) -> None:
+    """Send an update from now on; restarts its transmissions if it was sent before."""
+    updates.due[key] = Retransmission(now)
 
 
-def stop_sending(tellings: Retransmissions[Key], key: Key) -> None:
-    """Tell news no more."""
-    tellings.due.pop(key, None)
+def stop_sending(updates: Retransmissions[Key], key: Key) -> None:
+    """Cancel the remaining transmissions of an update."""
+    updates.due.pop(key, None)
 
 
-def take_due(tellings: Retransmissions[Key], now: float) -> list[Key]:
-    """Take the keys of what is to be told now."""
-    keys = [key for key, telling in tellings.due.items() if now >= telling.due_at]
+def take_due(updates: Retransmissions[Key], now: float) -> list[Key]:
+    """Return the keys of the updates to send now, and schedule their next transmission.
+
+    Updates without remaining transmissions are removed.
+    """
+    keys = [key for key, update in updates.due.items() if now >= update.due_at]
     for key in keys:
-        telling = tellings.due[key]
-        telling.due_at = now + RETRANSMIT_INTERVAL_S
-        telling.left -= 1
-        if telling.left == 0:
-            del tellings.due[key]
+        update = updates.due[key]
+        update.due_at = now + RETRANSMIT_INTERVAL_S
+        update.left -= 1
+        if update.left == 0:
+            del updates.due[key]
     return keys
--- a/src/robinspindle/core/usage.py
+++ b/src/robinspindle/core/usage.py
@@ -1,9 +1,10 @@
-"""Counts of what each workspace had run, by window, as all gateways come to know them.
+"""Counts of the requests of each workspace, by window, replicated to all gateways.
 
-Each gateway counts for itself and only upwards. Its counts are told as totals, so that
-telling them twice, late or over two ways adds nothing: the larger one holds. What a
-neighbour has not confirmed is told again. A neighbour confirms with the number of the
-newest datagram that it had from us.
+Each gateway counts only its own requests, and its counts only grow. Counts are sent as
+totals, and the larger total of a count wins. Counts that arrive twice, late or by two
+routes therefore add nothing. Counts that a neighbour has not acknowledged are sent
+again. A neighbour acknowledges by the number of the newest datagram that it received
+from this gateway.
 """
 
 import math
@@ -15,25 +16,27 @@
 import msgspec
 
 MAX_COUNTS_PER_DATAGRAM = 1024
-"""Counts that are told in one datagram, 12 KB where they are many: a relay that starts
-has heard what it needs within a second."""
+"""Maximum number of counts in one datagram: 12 KB where there are many. A relay that
+has just started receives what it needs within a second."""
 
 MAX_REPLACED_CHANGES = 4096
-"""Changes beyond twice the counts that are kept although later ones replaced them."""
+"""Number of changes, in addition to twice the number of counts, that are kept before
+changes that later ones replaced are removed."""
 
 MAX_COUNT = 10**9
-"""No workspace has more requests run in one window."""
+"""Maximum number of requests of one workspace in one window; higher ones are
+invalid."""
 
 
 class Account(msgspec.Struct, array_like=True):
-    """What one gateway counted in one window, or what changed of it.
+    """What one gateway counted in one window, or only the counts that changed.
 
     Attributes:
         gateway: Its name.
-        incarnation: When it started, Unix milliseconds; its counts begin anew with
-            each.
-        window: The window's number.
-        counts: Requests that began to run, by workspace.
+        incarnation: When it started, Unix milliseconds; its counts start at zero with
+            each incarnation.
+        window: The number of the window.
+        counts: Number of requests that started to run, by workspace.
     """
 
     gateway: str
@@ -44,12 +47,12 @@
 
 @dataclass(frozen=True)
 class CountKey:
-    """Whose count of what one is.
+    """Identifies one count.
 
     Attributes:
         gateway: The gateway that counted.
-        incarnation: Its start, Unix milliseconds.
-        window: The window's number.
+        incarnation: When that gateway started, Unix milliseconds.
+        window: The number of the window.
         workspace: The workspace.
     """
 
@@ -61,17 +64,18 @@
 
 @dataclass
 class NeighbourProgress:
-    """How far one neighbour knows the counts.
+    """Which counts one neighbour has acknowledged.
 
     Attributes:
-        started: Its start; who starts again knows nothing.
-        change: All changes up to this one.
-        told: The last change that was told, by the number of the datagram.
+        started: When the neighbour started; it loses all counts when it restarts.
+        change: Number of the last change that it acknowledged, with all before it.
+        sent: Number of the last change that each datagram contains, by the number of
+            the datagram.
     """
 
     started: float
     change: int = 0
-    told: dict[int, int] = field(default_factory=dict)
+    sent: dict[int, int] = field(default_factory=dict)
 
 
 @dataclass
@@ -79,11 +83,12 @@
     """All counts that one gateway knows.
 
     Attributes:
-        counts: The counts of each window, by their place.
-        changes: The number of each count's last change.
-        order: All changes by their numbers, also those that a later one replaced.
+        counts: The counts of each window, by key.
+        changes: The number of the last change of each count.
+        order: All changes in the order of their numbers, also some that later ones
+            replaced.
         change: Number of the last change.
-        neighbours: How far each neighbour knows them, by name.
+        neighbours: Which counts each neighbour has acknowledged, by name.
     """
 
     counts: dict[int, dict[CountKey, int]] = field(default_factory=dict)
@@ -94,147 +99,153 @@
 
 
 def find_window(wall_s: float, window_s: float) -> int:
-    """Find the window of a time of day, Unix seconds."""
+    """Find the number of the window of a time of day, Unix seconds."""
     return int(wall_s // window_s)
 
 
 def make_incarnation(started: float) -> int:
-    """Make the name of a life from its start, Unix seconds."""
+    """Make the number of an incarnation from its start, Unix seconds."""
     return round(started * 1000) if math.isfinite(started) else 0
 
 
 def count_started_request(
-    ledger: Ledger, gateway: str, life: int, window: int, workspace: str
+    ledger: Ledger, gateway: str, incarnation: int, window: int, workspace: str
 ) -> None:
-    """Count one request of our own that began to run."""
-    place = CountKey(gateway, life, window, workspace)
-    _set(ledger, place, _read(ledger, place) + 1)
+    """Count a request of this gateway that started to run."""
+    count_key = CountKey(gateway, incarnation, window, workspace)
+    _set(ledger, count_key, _read(ledger, count_key) + 1)
 
 
 def merge_accounts(ledger: Ledger, accounts: Iterable[Account]) -> None:
-    """Take in what a neighbour tells, or the store holds."""
+    """Merge the counts that a neighbour sent, or that the store holds."""
     for account in accounts:
         for workspace, count in account.counts.items():
-            place = CountKey(
+            count_key = CountKey(
                 account.gateway, account.incarnation, account.window, workspace
             )
-            if count > _read(ledger, place):
-                _set(ledger, place, count)
+            if count > _read(ledger, count_key):
+                _set(ledger, count_key, count)
 
 
 def resend_counts(ledger: Ledger, gateways: Iterable[str]) -> None:
-    """Tell all neighbours again what some gateways counted, as they may be gone.
+    """Send the counts of some gateways to all neighbours again.
 
-    Their own relay may have gone with them, and told only some.
+    This is for gateways that may have stopped: their relay may have stopped too, before
+    it sent their counts to all.
     """
     names = set(gateways)
-    for place in [place for place in ledger.changes if place.gateway in names]:
-        _set(ledger, place, _read(ledger, place))
+    for count_key in [
+        count_key for count_key in ledger.changes if count_key.gateway in names
+    ]:
+        _set(ledger, count_key, _read(ledger, count_key))
 
 
 def list_unconfirmed(
     ledger: Ledger, neighbour: str, started: float, number: int, left_out: set[str]
 ) -> list[Account]:
-    """List what a neighbour has not confirmed, the oldest change first.
+    """List the counts that a neighbour has not acknowledged, the oldest change first.
 
     Args:
         ledger: The counts; changed in place.
         neighbour: Its name.
-        started: Its start, as it tells.
-        number: Number of the datagram in which it is told.
-        left_out: The gateways of whose counts it is not told.
+        started: When it started, as it sent it.
+        number: Number of the datagram in which the counts are sent.
+        left_out: The gateways whose counts are not sent to it.
     """
     known = _find_confirmed(ledger, neighbour, started)
-    told: list[CountKey] = []
+    unconfirmed: list[CountKey] = []
     last = known.change
-    # From the oldest that is not confirmed: what is looked at hangs on what is told.
-    for change, place in _list_changes(ledger, known.change):
-        if len(told) == MAX_COUNTS_PER_DATAGRAM:
+    # Starts at the oldest change that is not acknowledged, so that the cost depends on
+    # the number of counts to send.
+    for change, count_key in _list_changes(ledger, known.change):
+        if len(unconfirmed) == MAX_COUNTS_PER_DATAGRAM:
             break
         last = change
-        if ledger.changes.get(place) != change:
+        if ledger.changes.get(count_key) != change:
             continue
-        # What an earlier life of the neighbour counted it does not know any more.
-        is_own = place.gateway == neighbour
-        knows = place.incarnation == make_incarnation(started) if is_own else False
-        if not knows and (is_own or place.gateway not in left_out):
-            told.append(place)
-    known.told[number] = last
-    return _gather(ledger, told)
+        # The neighbour has lost the counts of its own earlier incarnations.
+        is_own = count_key.gateway == neighbour
+        has_count = (
+            count_key.incarnation == make_incarnation(started) if is_own else False
+        )
+        if not has_count and (is_own or count_key.gateway not in left_out):
+            unconfirmed.append(count_key)
+    known.sent[number] = last
+    return _gather(ledger, unconfirmed)
 
 
 def note_confirmed(ledger: Ledger, neighbour: str, started: float, number: int) -> None:
-    """Take note that a neighbour has a datagram, and so all that was told before."""
+    """Note that a neighbour received a datagram, and with it all changes up to it."""
     known = _find_confirmed(ledger, neighbour, started)
-    if number not in known.told:
+    if number not in known.sent:
         return
-    known.change = max(known.change, known.told[number])
-    known.told = {n: c for n, c in known.told.items() if n > number}
+    known.change = max(known.change, known.sent[number])
+    known.sent = {n: c for n, c in known.sent.items() if n > number}
 
 
 def is_confirmed(ledger: Ledger, gateway: str, window: int) -> bool:
-    """Whether some neighbour knows all that a gateway counted in a window."""
-    places = _list_places(ledger, gateway, window)
-    last = max((ledger.changes[place] for place in places), default=0)
+    """Whether some neighbour has acknowledged all counts of a gateway in a window."""
+    count_keys = _list_keys(ledger, gateway, window)
+    last = max((ledger.changes[count_key] for count_key in count_keys), default=0)
     return any(known.change >= last for known in ledger.neighbours.values())
 
 
 def list_accounts(ledger: Ledger, gateway: str, window: int) -> list[Account]:
-    """Describe all that a gateway counted in a window, for each of its lives."""
-    return _gather(ledger, _list_places(ledger, gateway, window))
+    """List all counts of a gateway in a window, for each of its incarnations."""
+    return _gather(ledger, _list_keys(ledger, gateway, window))
 
 
 def sum_by_workspace(ledger: Ledger, window: int) -> dict[str, int]:
-    """Add a window's counts up by workspace."""
+    """Sum the counts of a window by workspace."""
     totals: dict[str, int] = {}
-    for place, count in ledger.counts.get(window, {}).items():
-        totals[place.workspace] = totals.get(place.workspace, 0) + count
+    for count_key, count in ledger.counts.get(window, {}).items():
+        totals[count_key.workspace] = totals.get(count_key.workspace, 0) + count
     return totals
 
 
 def list_windows(ledger: Ledger) -> set[int]:
-    """List the windows in which anything was counted."""
+    """List the windows with any counts."""
     return set(ledger.counts)
 
 
 def list_gateways(ledger: Ledger, window: int) -> list[str]:
-    """List the gateways that counted anything in a window."""
-    return sorted({place.gateway for place in ledger.counts.get(window, {})})
+    """List the gateways with any counts in a window."""
+    return sorted({count_key.gateway for count_key in ledger.counts.get(window, {})})
 
 
 def forget_before(ledger: Ledger, window: int) -> None:
-    """Forget the counts of all windows before one."""
+    """Remove the counts of all windows before one."""
     forget_windows(ledger, [old for old in ledger.counts if old < window])
 
 
 def forget_windows(ledger: Ledger, windows: Iterable[int]) -> None:
-    """Forget the counts of windows that were reported: nobody asks for them again."""
+    """Remove the counts of windows that were reported and are not needed any more."""
     known = set(windows) & ledger.counts.keys()
     for window in known:
-        for place in ledger.counts.pop(window):
-            del ledger.changes[place]
+        for count_key in ledger.counts.pop(window):
+            del ledger.changes[count_key]
     if known:
         _drop_replaced(ledger)
 
 
 def is_valid_account(account: Account) -> bool:
-    """Whether what a neighbour tells can be counts at all."""
+    """Whether the counts that a neighbour sent are in range."""
     return account.window >= 0 and all(
         0 < count <= MAX_COUNT for count in account.counts.values()
     )
 
 
-def _set(ledger: Ledger, place: CountKey, count: int) -> None:
+def _set(ledger: Ledger, count_key: CountKey, count: int) -> None:
     ledger.change += 1
-    ledger.counts.setdefault(place.window, {})[place] = count
-    ledger.changes[place] = ledger.change
-    ledger.order.append((ledger.change, place))
+    ledger.counts.setdefault(count_key.window, {})[count_key] = count
+    ledger.changes[count_key] = ledger.change
+    ledger.order.append((ledger.change, count_key))
     if len(ledger.order) > MAX_REPLACED_CHANGES + 2 * len(ledger.changes):
         _drop_replaced(ledger)
 
 
 def _drop_replaced(ledger: Ledger) -> None:
-    """Drop the changes that later ones have replaced."""
+    """Remove the changes that later ones have replaced."""
     changes = ledger.changes
     ledger.order = [pair for pair in ledger.order if changes.get(pair[1]) == pair[0]]
 
@@ -245,12 +256,12 @@
     return islice(ledger.order, start, None)
 
 
-def _read(ledger: Ledger, place: CountKey) -> int:
-    return ledger.counts.get(place.window, {}).get(place, 0)
+def _read(ledger: Ledger, count_key: CountKey) -> int:
+    return ledger.counts.get(count_key.window, {}).get(count_key, 0)
 
 
-def _list_places(ledger: Ledger, gateway: str, window: int) -> list[CountKey]:
-    return [p for p in ledger.counts.get(window, {}) if p.gateway == gateway]
+def _list_keys(ledger: Ledger, gateway: str, window: int) -> list[CountKey]:
+    return [k for k in ledger.counts.get(window, {}) if k.gateway == gateway]
 
 
 def _find_confirmed(
@@ -262,10 +273,10 @@
     return known
 
 
-def _gather(ledger: Ledger, places: Iterable[CountKey]) -> list[Account]:
+def _gather(ledger: Ledger, count_keys: Iterable[CountKey]) -> list[Account]:
     accounts: dict[tuple[str, int, int], Account] = {}
-    for place in places:
-        key = (place.gateway, place.incarnation, place.window)
+    for count_key in count_keys:
+        key = (count_key.gateway, count_key.incarnation, count_key.window)
         account = accounts.setdefault(key, Account(*key, {}))
-        account.counts[place.workspace] = _read(ledger, place)
+        account.counts[count_key.workspace] = _read(ledger, count_key)
     return list(accounts.values())
--- a/src/robinspindle/core/usagereports.py
+++ b/src/robinspindle/core/usagereports.py
@@ -1,13 +1,15 @@
-"""When a window's usage is decided, who reports it, and what it says for good.
-
-The platform must never take two reports of a window that differ. So what a report says
-is a record in the store before it is first sent, appended only where the store's topic
-still ends as its author has read it: one value for each window, whoever sends it.
-
-The record is a claim at the same time: its author sends for less than a lease after it,
-and another gateway waits for over a lease after seeing it (see `core.authority`). As
-long as one gateway follows itself, its fencing number stays, so that a call which is
-carried out late never has a lower number than one before it.
+"""Which gateway reports the usage of a window, when, and with which counts.
+
+The platform must never receive two different reports of a window. The content of a
+report is therefore a record in the store before it is first sent. It is appended only
+if the store's topic still ends where its author has read it, so that each window has
+one value, whichever gateway sends it.
+
+The record is also a lease claim. Its author sends reports for less than the lease time
+after it, and another gateway waits for longer than the lease time after it has read the
+record (see `core.authority`). The fencing token stays the same while one gateway
+succeeds itself, so that a call which is executed late never has a lower token than an
+earlier one.
 """
 
 from dataclasses import dataclass, field
@@ -18,44 +20,45 @@
 from robinspindle.core.usage import Account
 
 DECIDE_SHARE = 0.2
-"""Part of the allowed lateness after which a window is decided: until then gateways
-that changed their relay have told their counts again."""
+"""Fraction of the allowed lateness after which the counts of a window are decided. By
+then, gateways that changed their relay have sent their counts again."""
 
 SPILL_SHARE = 0.12
-"""Part of it after which a gateway whose counts no neighbour has confirmed writes them
-into the store: before they are decided on."""
+"""Fraction of it after which a gateway whose counts no neighbour has acknowledged
+writes them to the store: before they are decided."""
 
 TAKEOVER_SHARE = 0.4
-"""Part of it after which the next gateway in order reports a window."""
+"""Fraction of it after which the next gateway in order reports a window."""
 
 TAKEOVER_STEP_SHARE = 0.1
-"""Part of it between one gateway in that order and the next."""
+"""Fraction of it between one gateway in that order and the next."""
 
 INCOMPLETE_SHARE = 0.35
-"""Part of it for which a window waits for gateways that were heard lately and are not
-now: they may go on running requests, and tell what they counted when they are back.
-Most that are silent are restarted and tell nothing more, and the store or the platform
-may be lost before a late report."""
+"""Fraction of it for which a window waits for gateways that were reachable recently and
+are not now. They may go on running requests and send their counts when they are back.
+Most unreachable gateways have restarted and send no more counts for the window, and the
+store or the platform may be lost before a late report."""
 
 MINORITY_SHARE = 0.85
-"""Part of it after which a gateway that hears few others decides all the same: those
-that hear each other go first, as they know more."""
+"""Fraction of it after which a gateway that reaches only a minority of the others
+decides too: the gateways of the majority go first, as they know more counts."""
 
 GIVE_UP_FACTOR = 3.0
-"""Times the allowed lateness after which a report that can't be sent is given up."""
+"""Multiple of the allowed lateness after which a report that can't be sent is given
+up."""
 
 WINDOW_KEYS = 64
-"""Windows whose records the store keeps: keys are used again after so many."""
+"""Number of windows whose records the store keeps; their keys are reused after that."""
 
 SPILL_KEYS = 4
-"""Windows for which the store keeps counts that one gateway wrote there."""
+"""Number of windows for which the store keeps the counts that one gateway wrote."""
 
 CLAIM_KEY = "claim"
 
 
 @dataclass(frozen=True)
 class Schedule:
-    """What is promised of reports.
+    """The times that are promised for reports.
 
     Attributes:
         window_s: Length of a window, seconds.
@@ -67,14 +70,14 @@
 
 
 class Record(msgspec.Struct):
-    """A record in the store: what a window's report says, or a claim alone.
+    """A record in the store: the content of a window's report, or a lease claim alone.
 
     Attributes:
         holder: The gateway that wrote it.
-        fence: The fencing number under which it sends.
-        offset: Where the record lies.
-        window: The window; None for a claim alone.
-        counts: What its report says.
+        fence: The fencing token with which it sends.
+        offset: The offset of the record in its topic.
+        window: The number of the window; None for a claim alone.
+        counts: The content of the report: number of requests by workspace.
     """
 
     holder: str
@@ -85,13 +88,13 @@
 
 
 class Spilled(msgspec.Struct):
-    """Counts that a gateway wrote into the store, as it could not tell its peers."""
+    """Counts that a gateway wrote to the store, as no peer acknowledged them."""
 
     accounts: list[Account]
 
 
 class Stage(Enum):
-    """How far a window's report is."""
+    """The progress of a window's report."""
 
     OPEN = "open"
     DECIDED = "decided"
@@ -103,10 +106,10 @@
     """What one gateway knows of reports.
 
     Attributes:
-        records: What each window's report says, by window.
-        last: The newest record of all; None for none.
-        acknowledged: Windows whose report the platform has taken.
-        first_window: The first window that this gateway answers for.
+        records: The record of each decided window, by window.
+        last: The newest record of all; None if there is none.
+        acknowledged: Windows whose report the platform has accepted.
+        first_window: The first window that this gateway reports by itself.
     """
 
     records: dict[int, Record] = field(default_factory=dict)
@@ -116,22 +119,26 @@
 
 
 def make_window_key(window: int) -> str:
-    """Make the key of a window's record."""
+    """Make the store key of a window's record."""
     return f"usage/{window % WINDOW_KEYS}"
 
 
 def make_spill_key(gateway: str, window: int) -> str:
-    """Make the key under which a gateway writes its counts of a window."""
+    """Make the store key for the counts of a gateway in a window."""
     return f"counts/{gateway}/{window % SPILL_KEYS}"
 
 
 def is_spill_key(key: str) -> bool:
-    """Whether a record's key is that of a gateway's counts."""
+    """Whether a store key is that of a gateway's counts."""
     return key.startswith("counts/")
 
 
 def take_record(reports: Reports, record: Record) -> bool:
-    """Take in a record that the store holds; whether it is the newest of all."""
+    """Apply a record from the store.
+
+    Returns:
+        Whether it is the newest of all.
+    """
     if record.window is not None:
         known = reports.records.get(record.window)
         if known is None or record.offset > known.offset:
@@ -143,17 +150,17 @@
 
 
 def forget_store_offsets(reports: Reports) -> None:
-    """Take note that the store returned from a copy: offsets are given out anew."""
+    """Forget the last record, as a store restored from a backup reuses its offsets."""
     reports.last = None
 
 
 def note_acknowledged(reports: Reports, windows: set[int]) -> None:
-    """Take note of windows whose report the platform has taken."""
+    """Note windows whose report the platform has accepted."""
     reports.acknowledged |= windows
 
 
 def find_stage(reports: Reports, window: int) -> Stage:
-    """Find how far a window's report is."""
+    """Find the progress of a window's report."""
     if window in reports.acknowledged:
         return Stage.ACKNOWLEDGED
     return Stage.DECIDED if window in reports.records else Stage.OPEN
@@ -166,22 +173,24 @@
 
     Args:
         reports: What is known of reports.
-        schedule: What is promised.
-        counted: Windows in which anything was counted; those before the first that this
-            gateway answers for are reported where others tell of them.
+        schedule: The promised times.
+        counted: Windows with any counts. Those before `first_window` are reported only
+            if they have counts or a record.
         wall_s: The time of day, Unix seconds.
     """
     lateness_s = schedule.late_s * DECIDE_SHARE
     newest = int((wall_s - lateness_s) // schedule.window_s) - 1
     oldest = find_oldest(schedule, wall_s)
     own = range(max(reports.first_window, oldest), newest + 1)
-    told = {w for w in counted | set(reports.records) if oldest <= w <= newest}
-    found = set(own) | told
+    counted_or_decided = {
+        w for w in counted | set(reports.records) if oldest <= w <= newest
+    }
+    found = set(own) | counted_or_decided
     return sorted(found - reports.acknowledged)
 
 
 def find_oldest(schedule: Schedule, wall_s: float) -> int:
-    """Find the oldest window whose report is not given up yet."""
+    """Find the oldest window whose report is not given up."""
     lasting_s = schedule.late_s * GIVE_UP_FACTOR
     return int((wall_s - lasting_s) // schedule.window_s)
 
@@ -189,25 +198,26 @@
 def find_report_delay_s(
     schedule: Schedule, place: int, hears_most: bool, hears_all: bool
 ) -> float:
-    """Find how long after a window's end a gateway reports it, seconds.
+    """Find how long after the end of a window a gateway reports it, seconds.
 
     Args:
-        schedule: What is promised.
-        place: Its place in the order of those that may; 0 for the first.
-        hears_most: Whether it hears most of those that were heard lately.
-        hears_all: Whether it hears all of them.
+        schedule: The promised times.
+        place: The gateway's position in the takeover order; 0 for the first.
+        hears_most: Whether it receives datagrams from most of the gateways that were
+            reachable recently.
+        hears_all: Whether it receives datagrams from all of them.
     """
     first = (
         DECIDE_SHARE
         if place == 0
         else TAKEOVER_SHARE + TAKEOVER_STEP_SHARE * (place - 1)
     )
-    patient = 0.0 if hears_all else INCOMPLETE_SHARE + TAKEOVER_STEP_SHARE * place
-    alone = 0.0 if hears_most else MINORITY_SHARE
-    return schedule.late_s * max(first, patient, alone)
+    incomplete = 0.0 if hears_all else INCOMPLETE_SHARE + TAKEOVER_STEP_SHARE * place
+    minority = 0.0 if hears_most else MINORITY_SHARE
+    return schedule.late_s * max(first, incomplete, minority)
 
 
 def must_spill(schedule: Schedule, window: int, wall_s: float) -> bool:
-    """Whether counts of a window that nobody confirmed belong into the store now."""
+    """Whether unacknowledged counts of a window must be written to the store now."""
     late_s = wall_s - (window + 1) * schedule.window_s
     return SPILL_SHARE * schedule.late_s <= late_s <= schedule.late_s
--- a/tests/core/test_aggregation.py
+++ b/tests/core/test_aggregation.py
@@ -23,29 +23,32 @@
     return Digest(sender, 1.0, 1, list(loads), list(placements), **more)
 
 
-def count(digest):
-    """What a digest says of each engine but when it was heard; nothing for zeros."""
-    told = {
+def list_loads(digest):
+    """Return the load of each engine in a digest, without its age and without zeros."""
+    found = {
         load.lifetime: (load.in_flight, tuple(load.work_ms), load.long_answers)
         for load in digest.loads
     }
     return {
-        name: told[name] for name in told if any((*told[name][1], *told[name][::2]))
+        name: found[name] for name in found if any((*found[name][1], *found[name][::2]))
     }
 
 
 @given(loads, loads, loads)
-def test_a_sum_without_one_is_the_sum_of_the_others(first, second, third):
+def test_total_without_one_is_the_total_of_the_others(first, second, third):
     own, one, other = make("r", first), make("a", second), make("b", third)
-    total = aggregate(own, [one, other], tells_all=True)
-    assert count(subtract(total, one)) == count(aggregate(own, [other], True))
+    total = aggregate(own, [one, other], is_full=True)
+    assert list_loads(subtract(total, one)) == list_loads(aggregate(own, [other], True))
     assert total.is_relay
     assert total.members == ["r", "a", "b"]
 
 
-def test_nobody_hears_its_own_placements_rates_and_paces():
+def test_own_placements_loads_and_statistics_are_subtracted():
     sums = FitSums(2.0, [1.0] * 6, [1.0] * 3)
-    mine, theirs = Placement("e1", [("aa", 5)], 10), Placement("e2", [("bb", 5)], 10)
+    own_placement, other_placement = (
+        Placement("e1", [("aa", 5)], 10),
+        Placement("e2", [("bb", 5)], 10),
+    )
     own = make(
         "r",
         prefill_loads={"lm": 0.5},
@@ -53,36 +56,36 @@
     )
     one = make(
         "a",
-        placements=[mine],
+        placements=[own_placement],
         prefill_loads={"lm": 0.25},
         prefill_statistics=[PrefillStatistics("lm", True, sums)],
     )
-    other = make("b", placements=[theirs])
-    total = aggregate(own, [one, other], tells_all=True)
-    assert total.placements == [mine, theirs]
+    other = make("b", placements=[other_placement])
+    total = aggregate(own, [one, other], is_full=True)
+    assert total.placements == [own_placement, other_placement]
     assert total.prefill_loads == {"lm": 0.75}
     assert total.prefill_statistics[0].sums.weight == 4.0
     left = subtract(total, one)
-    assert left.placements == [theirs]
+    assert left.placements == [other_placement]
     assert left.prefill_loads == {"lm": 0.5}
     assert left.prefill_statistics[0].sums == sums
 
 
-def test_what_was_not_passed_on_yet_is_kept_and_told_once():
+def test_state_not_forwarded_yet_is_kept_and_sent_once():
     first = make(
         "a", [Load("e1", 1, [0] * 6)], [Placement("e1", [])], silent_targets=["e9"]
     )
     second = make("a", [], [Placement("e2", [])], silent_targets=["e8"])
-    joined = merge_unsent(merge_unsent(None, first), second)
-    assert joined.loads == []
-    assert [p.lifetime for p in joined.placements] == ["e1", "e2"]
-    assert joined.silent_targets == ["e8", "e9"]
-    assert drop_sent(joined).placements == []
+    merged = merge_unsent(merge_unsent(None, first), second)
+    assert merged.loads == []
+    assert [p.lifetime for p in merged.placements] == ["e1", "e2"]
+    assert merged.silent_targets == ["e8", "e9"]
+    assert drop_sent(merged).placements == []
     restarted = Digest("a", 2.0, 1, [], [])
-    assert merge_unsent(joined, restarted) is restarted
+    assert merge_unsent(merged, restarted) is restarted
 
 
-def test_the_furthest_end_of_each_topic_is_told():
+def test_highest_end_of_each_topic_is_sent():
     total = aggregate(
         make("r", topic_ends={"x": 5}), [make("a", topic_ends={"x": 7, "y": 1})], False
     )
--- a/tests/core/test_crashes.py
+++ b/tests/core/test_crashes.py
@@ -1,4 +1,4 @@
-"""Who is taken as the cause of crashes, and who is not."""
+"""Which requests are taken as the cause of crashes."""
 
 import random
 
@@ -20,8 +20,8 @@
 A, B, C = name(1 << 130), name(2 << 130), name(3 << 130)
 
 
-def crash(evidence, lifetime, at, *met, ran_s=0.1):
-    runs = dict.fromkeys(met, ran_s)
+def crash(evidence, lifetime, at, *running, ran_s=0.1):
+    runs = dict.fromkeys(running, ran_s)
     return crashes.note_crash(evidence, Crash(lifetime, "lm", at, runs), at)
 
 
@@ -29,7 +29,7 @@
     return crashes.is_probable_cause(evidence, fingerprint, known, TARGETS)
 
 
-def test_three_crashes_in_quiet_times_are_enough():
+def test_three_crashes_are_enough_if_others_are_rare():
     evidence = Evidence()
     for number in range(3):
         assert not is_probable_cause(evidence, A)
@@ -37,7 +37,7 @@
     assert is_probable_cause(evidence, A)
 
 
-def test_the_same_crash_told_by_many_counts_once():
+def test_crash_reported_by_many_counts_once():
     evidence = Evidence()
     for _ in range(5):
         crash(evidence, "i1", 1.0, A)
@@ -46,7 +46,7 @@
     assert not is_probable_cause(evidence, A)
 
 
-def test_those_that_ran_beside_the_cause_are_not_guilty():
+def test_requests_running_beside_the_cause_are_not_causes():
     evidence = Evidence()
     for number, beside in enumerate((B, C, B)):
         crash(evidence, f"i{number}", number * 1.0, A, beside)
@@ -55,7 +55,7 @@
     assert not is_probable_cause(evidence, C)
 
 
-def test_who_followed_the_cause_everywhere_is_told_apart_by_one_run_more():
+def test_one_more_crash_breaks_a_tie():
     evidence = Evidence()
     for number in range(3):
         crash(evidence, f"i{number}", number * 1.0, A, B)
@@ -66,7 +66,7 @@
     assert not is_probable_cause(evidence, B, [A])
 
 
-def test_a_run_to_a_good_end_clears():
+def test_success_clears():
     evidence = Evidence()
     for number in range(3):
         crash(evidence, f"i{number}", number * 1.0, A)
@@ -75,8 +75,8 @@
     assert crashes.count_crashes(evidence, A) == 0
 
 
-def test_what_many_ask_for_is_not_suspected_where_targets_crash_at_once():
-    """It ends well somewhere every second, and is under way on each that crashes."""
+def test_frequent_request_is_not_suspected_when_many_targets_crash():
+    """It succeeds somewhere every second and runs on each target that crashes."""
     evidence = Evidence()
     crashes.note_success(evidence, A, 0.0)
     for number in range(5):
@@ -84,7 +84,7 @@
     assert crashes.count_crashes(evidence, A) == 0
 
 
-def test_a_good_end_speaks_for_a_request_for_a_minute_only():
+def test_success_clears_for_a_minute_only():
     evidence = Evidence()
     crashes.note_success(evidence, A, 0.0)
     for number in range(3):
@@ -92,7 +92,7 @@
     assert is_probable_cause(evidence, A)
 
 
-def test_long_runs_in_a_storm_of_crashes_prove_little():
+def test_long_runs_during_frequent_crashes_are_weak_evidence():
     evidence = Evidence()
     for number in range(20):
         crash(evidence, f"other{number}", number * 1.0)
@@ -103,7 +103,7 @@
     assert is_probable_cause(evidence, B)
 
 
-def test_crashes_with_a_known_cause_prove_little():
+def test_crashes_with_a_known_cause_are_weak_evidence():
     evidence = Evidence()
     for number in range(5):
         crash(evidence, f"i{number}", number * 1.0, A, *([B] if number < 3 else []))
@@ -115,7 +115,7 @@
     assert not is_probable_cause(evidence, B, [A])
 
 
-def test_a_second_cause_beside_a_known_one_is_found_out_too():
+def test_second_cause_beside_a_known_one_is_found():
     evidence = Evidence()
     for number in range(3):
         crash(evidence, f"i{number}", number * 1.0, A, B)
@@ -124,7 +124,7 @@
     assert is_probable_cause(evidence, B, [A])
 
 
-def test_crashes_far_apart_are_remembered_for_an_hour():
+def test_crashes_are_kept_for_an_hour():
     evidence = Evidence()
     for number in range(3):
         crash(evidence, f"i{number}", number * 1500.0, A)
@@ -133,7 +133,7 @@
     assert crashes.count_crashes(evidence, A) == 0
 
 
-def test_a_flood_pushes_out_those_that_met_one_crash_first():
+def test_requests_with_one_crash_are_removed_first():
     evidence = Evidence()
     crash(evidence, "i0", 0.0, A)
     crash(evidence, "i1", 1.0, A)
@@ -159,36 +159,37 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(EVENTS)
-def test_whatever_happens_the_bounds_hold_and_the_cleared_are_free(events):
+def test_limits_hold_and_cleared_requests_have_no_evidence(events):
     evidence, now = Evidence(), 0.0
-    for kind, lifetime, met, later in events:
-        now += later
+    for kind, lifetime, running, pause_s in events:
+        now += pause_s
         if kind == "crash":
-            crash(evidence, f"i{lifetime}", now, *map(name, met))
+            crash(evidence, f"i{lifetime}", now, *map(name, running))
         else:
-            for number in met:
+            for number in running:
                 crashes.note_success(evidence, name(number), now)
                 assert not is_probable_cause(evidence, name(number))
         for fingerprint, lifetimes in evidence.crashes_by_request.items():
             assert lifetimes
             assert all(fingerprint in evidence.crashes[one].runs for one in lifetimes)
             assert not crashes.is_cleared(evidence, fingerprint, now)
-        head_hashes = sum(evidence.head_hashes.values())
-        assert head_hashes == len(evidence.crashes_by_request)
+        count = sum(evidence.head_hashes.values())
+        assert count == len(evidence.crashes_by_request)
         assert len(evidence.crashes) <= crashes.MAX_CRASHES
 
 
-def play_storm(seed, callers=2000, targets=TARGETS):
-    """Play callers with one request each in a storm of crashes; nobody causes them.
+def simulate_crashes(seed, callers=2000, targets=TARGETS):
+    """Simulate callers with one request each during crashes that no request causes.
 
-    Each target crashes every 4 s in the mean and is back after 1 s; a request takes
-    0.05 to 2 s, and its caller tries up to six times.
+    Each target crashes every 4 s on average and is back after 1 s. A request takes
+    0.05 to 2 s, and its caller makes up to six attempts.
 
     Returns:
-        How many callers met three crashes or more, and how many were judged guilty.
+        The number of requests with three crashes or more, and the number of probable
+        causes among them.
     """
     rng, evidence = random.Random(seed), Evidence()
-    ends = {target: sorted_crashes(rng, 200.0) for target in range(targets)}
+    ends = {target: draw_crashes(rng, 200.0) for target in range(targets)}
     found = []
     for number in range(callers):
         at = rng.uniform(0.0, 180.0)
@@ -203,15 +204,15 @@
     for end, lifetime, fingerprint, seconds in sorted(found):
         runs = {fingerprint: seconds}
         crashes.note_crash(evidence, Crash(lifetime, "lm", end, runs), end)
-    met = [
+    suspects = [
         f
         for f in evidence.crashes_by_request
         if crashes.count_crashes(evidence, f) >= 3
     ]
-    return len(met), sum(is_probable_cause(evidence, f) for f in met)
+    return len(suspects), sum(is_probable_cause(evidence, f) for f in suspects)
 
 
-def sorted_crashes(rng, seconds):
+def draw_crashes(rng, seconds):
     found, at = [], 0.0
     while at < seconds:
         at += 1.0 + rng.expovariate(1 / 3.0)
@@ -220,8 +221,8 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_in_a_storm_that_nobody_causes_hardly_any_innocent_is_judged_guilty(seed):
-    """Of 2,000 callers about 25 meet three crashes; 0 or 1 is judged guilty."""
-    met, guilty = play_storm(seed)
-    assert met >= 5
-    assert guilty <= 1
+def test_crashes_without_a_cause_hardly_incriminate_any_request(seed):
+    """About 25 of 2,000 requests have three crashes; 0 or 1 is taken as a cause."""
+    suspects, causes = simulate_crashes(seed)
+    assert suspects >= 5
+    assert causes <= 1
--- a/tests/core/test_freshness.py
+++ b/tests/core/test_freshness.py
@@ -1,4 +1,4 @@
-"""Revocation: no request with a key runs later than promised after its taking away."""
+"""Revocation: no request with a key is served later than promised after it."""
 
 import math
 
@@ -22,30 +22,30 @@
     return Freshness(LIMIT_S, 3.0, True, version, newest_at)
 
 
-def test_nothing_with_a_key_is_served_before_the_first_read():
+def test_no_key_is_served_before_the_first_read():
     assert not may_serve(make(), 0.0)
 
 
-def test_a_read_counts_from_when_it_was_sent():
+def test_read_counts_from_when_it_was_sent():
     freshness = make()
     note_store_read(freshness, 10.0)
     assert may_serve(freshness, 14.0)
     assert not may_serve(freshness, 15.0)
 
 
-def test_an_answer_that_lay_through_a_freeze_renews_nothing():
+def test_answer_delayed_by_a_suspension_renews_nothing():
     freshness = make(newest_at=10.0)
     note_store_read(freshness, 10.1)
     assert not may_serve(freshness, 20.0)
 
 
-def test_a_late_answer_does_not_make_it_older():
+def test_late_answer_does_not_raise_the_age():
     freshness = make(newest_at=10.0)
     note_store_read(freshness, 8.0)
     assert freshness.newest_at == 10.0
 
 
-def test_a_peer_renews_only_what_both_hold():
+def test_peer_renews_only_the_same_version():
     freshness = make(version=4, newest_at=1.0)
     note_peer_version(freshness, 3, as_of=9.0, now=9.0)
     assert freshness.newest_at == 1.0
@@ -55,8 +55,8 @@
     assert not relies_on_peers(freshness, 12.0)
 
 
-def test_a_peer_that_is_ahead_stops_renewal_and_denial():
-    """A store that returned from a copy still holds the version before."""
+def test_peer_with_a_newer_version_stops_renewal_and_denial():
+    """A store that was restored from a backup still holds the previous version."""
     freshness = make(version=4, newest_at=10.0)
     note_peer_version(freshness, 5, as_of=10.5, now=10.5)
     note_store_read(freshness, 11.0)
@@ -67,19 +67,19 @@
     assert may_deny(freshness, 11.6)
 
 
-def test_who_lags_does_not_call_a_key_unknown():
+def test_gateway_that_is_behind_does_not_call_a_key_unknown():
     freshness = make(newest_at=10.0)
     assert may_deny(freshness, 12.0)
     assert not may_deny(freshness, 12.9)
 
 
-def test_the_store_is_asked_out_of_turn_in_time_for_a_second_call():
+def test_store_is_asked_early_enough_for_a_second_call():
     freshness = make(newest_at=10.0)
     assert not must_renew(freshness, 12.9)
     assert must_renew(freshness, 13.1)
 
 
-def test_where_nothing_is_promised_nothing_hangs_on_age():
+def test_age_does_not_matter_without_a_promise():
     for freshness in (Freshness(None, 3.0, True, 1), Freshness(LIMIT_S, 3.0, False)):
         assert may_serve(freshness, 1e9)
         assert not must_renew(freshness, 1e9)
@@ -98,36 +98,36 @@
 
 
 @given(moves)
-def test_no_gateway_serves_a_key_too_late(steps):
-    """Three gateways; reads and tellings take any time, and so do waits and freezes.
+def test_no_gateway_serves_a_revoked_key_too_late(steps):
+    """Simulates three gateways with arbitrary delays of reads, datagrams and processes.
 
-    Each of their clocks is true here; an answer or a datagram that is under way holds
-    what was true when it left.
+    All clocks are correct here. An answer or a datagram contains what was true when it
+    was sent.
     """
     now, revoked_at, newest = 0.0, None, 1
     gateways = [make() for _ in range(3)]
-    arriving = []
-    for kind, who, pause_s, delay_s in steps:
+    in_flight = []
+    for kind, number, pause_s, delay_s in steps:
         now += pause_s
-        for item in [item for item in arriving if item[0] <= now]:
-            arriving.remove(item)
+        for item in [item for item in in_flight if item[0] <= now]:
+            in_flight.remove(item)
             item[1](item[0])
         if kind == "revoke" and revoked_at is None:
             revoked_at, newest = now, 2
         elif kind == "read":
-            arriving.append(_read(gateways[who], now, delay_s, newest))
+            in_flight.append(_read(gateways[number], now, delay_s, newest))
         elif kind == "tell":
-            other = gateways[(who + 1) % 3]
-            arriving.append(_tell(gateways[who], other, now, delay_s))
+            other = gateways[(number + 1) % 3]
+            in_flight.append(_send_age(gateways[number], other, now, delay_s))
         elif kind == "serve":
-            freshness = gateways[who]
+            freshness = gateways[number]
             holds_key = freshness.version == 1
             if holds_key and may_serve(freshness, now) and revoked_at is not None:
                 assert now <= revoked_at + LIMIT_S
 
 
 def _read(freshness, sent_at, delay_s, version):
-    """Read; the store looks at any moment while the call is under way."""
+    """Read from the store, which may answer at any time during the call."""
 
     def arrive(at):
         freshness.version = max(freshness.version, version)
@@ -136,12 +136,12 @@
     return sent_at + delay_s, arrive
 
 
-def _tell(sender, receiver, echoed_at, delay_s):
-    """Tell of the age; the receiver's digest had come when it spoke."""
-    spoke_at = echoed_at
-    age_s, version = spoke_at - sender.newest_at, sender.version
+def _send_age(sender, receiver, echoed_at, delay_s):
+    """Send the age, after the receiver's digest has come."""
+    age_sent_at = echoed_at
+    age_s, version = age_sent_at - sender.newest_at, sender.version
 
     def arrive(at):
         note_peer_version(receiver, version, echoed_at - age_s, at)
 
-    return spoke_at + delay_s, arrive
+    return age_sent_at + delay_s, arrive
--- a/tests/core/test_peerdigests.py
+++ b/tests/core/test_peerdigests.py
@@ -16,7 +16,7 @@
     return Digest("g2", started, number, list(loads), list(placements))
 
 
-def test_the_newest_word_of_a_peer_counts():
+def test_newest_digest_of_a_peer_counts():
     engines = {"e1": make_engine(True, 1000)}
     peers = {}
     assert apply_digest(
@@ -35,7 +35,7 @@
     assert (engine.backlog_s, engine.others_in_flight, engine.long_answers) == (0, 0, 0)
 
 
-def test_a_restarted_peer_begins_anew():
+def test_restarted_peer_starts_from_nothing():
     engines = {"e1": make_engine(True, 1000)}
     peers = {}
     apply_digest(peers, make(900, loads=[Load("e1", 1, WORK)]), 0.0, engines.get)
@@ -43,7 +43,7 @@
     assert engines["e1"].backlog_s == 0
 
 
-def test_placements_are_believed_and_unknown_targets_passed_over():
+def test_placements_are_applied_and_unknown_targets_ignored():
     engines = {"e1": make_engine(False, 1000)}
     placements = [Placement("e1", [("a", 100)], 60, 2), Placement("e9", [("a", 100)])]
     apply_digest({}, make(placements=placements), 0.0, engines.get)
@@ -51,7 +51,7 @@
     assert list(engines["e1"].recent_prefills) == [PrefillStart(0.0, 0.06, 2)]
 
 
-def test_a_silent_peer_has_nothing_under_way():
+def test_timed_out_peer_has_nothing_in_flight():
     engines = {"e1": make_engine(True, 1000)}
     peers = {}
     apply_digest(peers, make(loads=[Load("e1", 1, WORK)]), 0.0, engines.get)
@@ -60,11 +60,11 @@
     assert engines["e1"].backlog_s == 0
 
 
-def test_the_first_two_tell_a_newcomer_what_caches_hold():
+def test_first_two_gateways_send_caches_to_a_starting_one():
     names = ["g1", "g2", "g3", "g4"]
-    teachers = [
+    senders = [
         name
         for name in names
         if is_cache_sender(name, [other for other in names if other != name], "g1")
     ]
-    assert teachers == ["g2", "g3"]
+    assert senders == ["g2", "g3"]
--- a/tests/core/test_peervalidation.py
+++ b/tests/core/test_peervalidation.py
@@ -12,7 +12,7 @@
 from robinspindle.core.peervalidation import find_fault
 from robinspindle.core.prefillmodel import FitSums
 
-GOOD = Digest(
+VALID = Digest(
     "g2",
     1.0,
     1,
@@ -29,14 +29,14 @@
 def make(**changed):
     return Digest(
         **{
-            name: changed.get(name, getattr(GOOD, name))
-            for name in GOOD.__struct_fields__
+            name: changed.get(name, getattr(VALID, name))
+            for name in VALID.__struct_fields__
         }
     )
 
 
-def test_what_gateways_tell_is_believed():
-    assert find_fault(GOOD) is None
+def test_valid_digest_is_accepted():
+    assert find_fault(VALID) is None
 
 
 @pytest.mark.parametrize(
@@ -59,5 +59,5 @@
         {"caches": [Cache("e1", [("aa", -1)])]},
     ],
 )
-def test_what_would_spoil_a_sum_is_not(changed):
+def test_values_that_corrupt_totals_are_rejected(changed):
     assert find_fault(make(**changed)) is not None
--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that are turned away: what is said of them, where and for how long."""
+"""Entries of quarantined requests, in memory, in the store and in datagrams."""
 
 import msgspec
 import pytest
@@ -21,14 +21,14 @@
 ENTRY = quarantine.make_entry(NAME, {"i1@5", "i2", "i3"}, "shop/safe/x", 1000)
 
 
-def test_an_entry_is_read_from_the_store_as_it_was_written():
+def test_stored_entry_is_decoded_as_encoded():
     key = quarantine.make_key(NAME)
     assert quarantine.is_key(key)
     value = quarantine.encode_entry(ENTRY)
     assert quarantine.decode_entry(quarantine.read_key(key), value) == ENTRY
 
 
-def test_an_entry_is_read_from_a_peer_as_it_was_written():
+def test_sent_entry_is_read_as_written():
     assert read_entry(write_entry(ENTRY)) == ENTRY
 
 
@@ -45,18 +45,18 @@
         b'{"standing": "quarantined", "at_ms": 5, "lifetimes": ["a b"]}',
     ],
 )
-def test_a_record_that_cannot_be_believed_is_refused(value):
+def test_invalid_record_is_rejected(value):
     with pytest.raises(BadDocumentError):
         quarantine.decode_entry(NAME, value)
 
 
 @pytest.mark.parametrize("key", ["quarantine/", "quarantine/xyz", "quarantine/0011"])
-def test_a_key_without_a_fingerprint_is_refused(key):
+def test_key_without_a_fingerprint_is_rejected(key):
     with pytest.raises(BadDocumentError):
         quarantine.read_key(key)
 
 
-def test_the_later_word_counts_whatever_comes_first():
+def test_later_entry_wins_in_any_order_of_arrival():
     released = quarantine.release(ENTRY, 10)
     assert released.at_ms > ENTRY.at_ms
     for order in ([ENTRY, released], [released, ENTRY]):
@@ -67,7 +67,7 @@
         assert not known.head_hashes
 
 
-def test_what_is_turned_away_is_found_by_its_mark():
+def test_quarantined_request_is_found_by_its_head_hash():
     known = Quarantine()
     assert quarantine.merge_entry(known, ENTRY)
     assert not quarantine.merge_entry(known, ENTRY)
@@ -75,7 +75,7 @@
     assert quarantine.find_quarantined(known, NAME) == ENTRY
 
 
-def test_a_record_that_the_store_lost_does_not_release():
+def test_record_lost_by_the_store_does_not_release():
     known = Quarantine()
     quarantine.merge_entry(known, ENTRY)
     quarantine.note_stored(known, ENTRY)
@@ -85,14 +85,14 @@
     assert quarantine.list_unstored(known) == [ENTRY]
 
 
-def test_an_older_record_in_the_store_is_written_anew():
+def test_older_record_in_the_store_is_written_again():
     known = Quarantine()
     quarantine.merge_entry(known, quarantine.release(ENTRY, 2000))
     quarantine.note_stored(known, ENTRY)
     assert len(quarantine.list_unstored(known)) == 1
 
 
-def test_trials_come_at_longer_and_longer_intervals_and_end():
+def test_trial_intervals_grow_and_trials_end():
     entry, found = ENTRY, []
     while (at_ms := quarantine.find_trial_at_ms(entry)) is not None:
         assert not quarantine.may_try(entry, at_ms - 1)
@@ -103,7 +103,7 @@
     assert quarantine.find_retry_s(entry, entry.at_ms) == quarantine.MAX_RETRY_S
 
 
-def test_the_oldest_fall_out():
+def test_oldest_entries_are_removed():
     known = Quarantine()
     for number in range(quarantine.MAX_ENTRIES + 10):
         fingerprint = Fingerprint(number.to_bytes(FINGERPRINT_BYTES, "big"))
@@ -113,7 +113,7 @@
     assert min(entry.at_ms for entry in known.entries.values()) == 10
 
 
-BAD_NEWS = [
+INVALID_UPDATES = [
     RequestUpdates(crashes=[CrashUpdate("i 1", "lm", 5, [])]),
     RequestUpdates(crashes=[CrashUpdate("i1", "lm", -5, [])]),
     RequestUpdates(crashes=[CrashUpdate("i1", "lm", 5, [(b"short", 5)])]),
@@ -124,17 +124,17 @@
 ]
 
 
-@pytest.mark.parametrize("news", BAD_NEWS)
-def test_news_that_cannot_be_true_are_not_believed(news):
+@pytest.mark.parametrize("news", INVALID_UPDATES)
+def test_invalid_updates_are_rejected(news):
     assert are_updates_valid(RequestUpdates())
     assert not are_updates_valid(news)
 
 
-def test_news_of_many_crashes_stay_far_below_a_datagram():
+def test_updates_on_many_crashes_stay_far_below_a_datagram():
     runs = [(NAME, 1000)] * 128
-    news = RequestUpdates()
+    updates = RequestUpdates()
     for number in range(30):
-        news = merge_updates(
-            news, RequestUpdates([CrashUpdate(f"i{number}", "lm", 5, runs)])
+        updates = merge_updates(
+            updates, RequestUpdates([CrashUpdate(f"i{number}", "lm", 5, runs)])
         )
-    assert len(msgspec.msgpack.encode(news)) < 20_000
+    assert len(msgspec.msgpack.encode(updates)) < 20_000
--- a/tests/core/test_relays.py
+++ b/tests/core/test_relays.py
@@ -22,7 +22,7 @@
 
 
 def make_members(count, zones=5, large=3):
-    """Gateways dealt out to zones; the first of each zone have more capacity."""
+    """Make gateways in several zones; the first ones have more capacity."""
     return [
         Member(
             f"g{n:03}",
@@ -47,20 +47,20 @@
         assert len({zone_of[name] for name in names}) == 1
 
 
-def test_groups_do_not_depend_on_the_order_in_which_gateways_are_heard_of():
+def test_groups_do_not_depend_on_the_order_of_members():
     members = make_members(68)
     assert make_groups(members) == make_groups(reversed(members))
 
 
-def test_the_first_choice_of_each_group_has_the_most_capacity():
+def test_preferred_relay_of_each_group_has_the_most_capacity():
     members = make_members(300, large=4)
     capacity = {member.name: member.capacity for member in members}
     groups = make_groups(members)
     assert all(capacity[names[0]] == 2.0 for names in groups.ranked)
 
 
-def test_the_interval_follows_what_a_relay_has_to_do():
-    """0.170 s with 68 gateways where each told all others, and 0.75 s with 300."""
+def test_interval_grows_with_the_load_of_a_relay():
+    """Without relays it would be 0.170 s for 68 gateways and 0.75 s for 300."""
     found = {n: find_interval(make_groups(make_members(n))) for n in (5, 23, 68, 300)}
     assert found[5] == 0.02
     assert found[23] < 0.06
@@ -68,7 +68,7 @@
     assert found[300] < 0.18
 
 
-def test_an_introduction_is_read_as_it_was_written():
+def test_member_is_decoded_as_encoded():
     member = Member("g1", "10.1.0.3", 7660, "zone-a", 2.15)
     assert decode_member("g1", encode_member(member)) == member
     assert decode_member("g1", b"10.1.0.3:7660").capacity == 1.0
@@ -76,7 +76,7 @@
         assert decode_member("g1", bad) is None
 
 
-def test_the_first_in_order_is_the_relay_and_who_comes_to_itself_is_one():
+def test_first_in_rank_order_is_the_relay_also_for_itself():
     choice = RelayChoice()
     assert choose_relay(choice, RANKED, "g3", 0.0)
     assert choice.relay == "g1"
@@ -86,13 +86,13 @@
     assert own.relay == "g1"
 
 
-def test_a_silent_relay_is_given_up_for_the_next_and_used_again_when_it_is_back():
+def test_timed_out_relay_is_replaced_and_chosen_again_when_back():
     choice = RelayChoice()
     choose_relay(choice, RANKED, "g3", 0.0)
     assert choose_relay(choice, RANKED, "g3", RELAY_SILENCE_TIMEOUT_S + 0.01)
     assert choice.relay == "g2"
     note_heard(choice, "g2", 1.0, has_heard_us=True)
-    # The one that died does not come back by itself.
+    # The failed relay is not chosen again before it sends datagrams.
     assert not choose_relay(choice, RANKED, "g3", 1.3)
     note_heard(choice, "g1", 2.0, has_heard_us=False)
     note_heard(choice, "g2", 2.0, has_heard_us=True)
@@ -103,7 +103,7 @@
     assert choice.relay == "g1"
 
 
-def test_a_relay_that_is_heard_but_does_not_hear_us_is_given_up():
+def test_relay_that_does_not_receive_is_replaced():
     choice = RelayChoice()
     choose_relay(choice, RANKED, "g3", 0.0)
     now = 0.0
@@ -115,7 +115,7 @@
     assert choice.relay == "g2"
 
 
-def test_where_all_others_fail_a_gateway_speaks_for_itself():
+def test_gateway_is_its_own_relay_if_all_others_fail():
     choice = RelayChoice()
     for step in range(30):
         choose_relay(choice, RANKED, "g3", step * 0.1)
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -10,21 +10,21 @@
         usage.count_started_request(ledger, gateway, 1, window, workspace)
 
 
-def test_totals_told_twice_add_nothing():
+def test_counts_received_twice_add_nothing():
     ledger = Ledger()
-    told = [Account("a", 1, 7, {"red": 3}), Account("b", 1, 7, {"red": 2})]
-    usage.merge_accounts(ledger, told + told)
+    sent = [Account("a", 1, 7, {"red": 3}), Account("b", 1, 7, {"red": 2})]
+    usage.merge_accounts(ledger, sent + sent)
     assert usage.sum_by_workspace(ledger, 7) == {"red": 5}
 
 
-def test_two_lives_of_one_gateway_both_count():
+def test_two_incarnations_of_a_gateway_both_count():
     ledger = Ledger()
-    told = [Account("a", 1, 7, {"red": 3}), Account("a", 2, 7, {"red": 1})]
-    usage.merge_accounts(ledger, told)
+    sent = [Account("a", 1, 7, {"red": 3}), Account("a", 2, 7, {"red": 1})]
+    usage.merge_accounts(ledger, sent)
     assert usage.sum_by_workspace(ledger, 7) == {"red": 4}
 
 
-def test_what_was_not_confirmed_is_told_again_and_nothing_else():
+def test_only_unconfirmed_counts_are_sent_again():
     ledger = Ledger()
     count(ledger, "red")
     first = usage.list_unconfirmed(ledger, "b", 1.0, 10, set())
@@ -38,7 +38,7 @@
     assert usage.is_confirmed(ledger, "a", 7)
 
 
-def test_a_neighbour_that_starts_again_is_told_all():
+def test_restarted_neighbour_is_sent_all_counts():
     ledger = Ledger()
     count(ledger, "red")
     usage.list_unconfirmed(ledger, "b", 1.0, 10, set())
@@ -47,20 +47,20 @@
     assert usage.list_unconfirmed(ledger, "b", 2.0, 12, set())
 
 
-def test_many_counts_are_told_over_several_datagrams():
+def test_many_counts_are_sent_in_several_datagrams():
     ledger = Ledger()
     for number in range(3 * usage.MAX_COUNTS_PER_DATAGRAM):
         count(ledger, f"w{number}")
-    heard = Ledger()
+    received = Ledger()
     for number in range(3):
-        told = usage.list_unconfirmed(ledger, "b", 1.0, number, set())
-        assert sum(len(a.counts) for a in told) <= usage.MAX_COUNTS_PER_DATAGRAM
-        usage.merge_accounts(heard, told)
+        sent = usage.list_unconfirmed(ledger, "b", 1.0, number, set())
+        assert sum(len(a.counts) for a in sent) <= usage.MAX_COUNTS_PER_DATAGRAM
+        usage.merge_accounts(received, sent)
         usage.note_confirmed(ledger, "b", 1.0, number)
-    assert usage.sum_by_workspace(heard, 7) == usage.sum_by_workspace(ledger, 7)
+    assert usage.sum_by_workspace(received, 7) == usage.sum_by_workspace(ledger, 7)
 
 
-def test_old_windows_are_forgotten():
+def test_old_windows_are_removed():
     ledger = Ledger()
     count(ledger, "red", window=3)
     count(ledger, "red", window=8)
@@ -75,18 +75,23 @@
         max_size=60,
     )
 )
-def test_all_know_all_in_the_end_however_many_datagrams_are_lost(steps):
+def test_all_ledgers_converge_although_datagrams_are_lost(steps):
     ledgers = [Ledger() for _ in range(3)]
     number = 0
-    for who, workspace, is_lost in [*steps, *[(n, "", False) for n in (0, 1, 2) * 2]]:
+    for sender, workspace, is_lost in [
+        *steps,
+        *[(n, "", False) for n in (0, 1, 2) * 2],
+    ]:
         if workspace:
-            count(ledgers[who], workspace, gateway=f"g{who}")
-        for other in {0, 1, 2} - {who}:
+            count(ledgers[sender], workspace, gateway=f"g{sender}")
+        for receiver in {0, 1, 2} - {sender}:
             number += 1
-            told = usage.list_unconfirmed(ledgers[who], f"g{other}", 1.0, number, set())
+            sent = usage.list_unconfirmed(
+                ledgers[sender], f"g{receiver}", 1.0, number, set()
+            )
             if not is_lost:
-                usage.merge_accounts(ledgers[other], told)
-                usage.note_confirmed(ledgers[who], f"g{other}", 1.0, number)
+                usage.merge_accounts(ledgers[receiver], sent)
+                usage.note_confirmed(ledgers[sender], f"g{receiver}", 1.0, number)
     totals = [usage.sum_by_workspace(ledger, 7) for ledger in ledgers]
     assert totals[0] == totals[1] == totals[2]
     assert sum(totals[0].values()) == sum(1 for _, workspace, _ in steps if workspace)
