--- a/src/robinspindle/core/crashupdates.py
+++ b/src/robinspindle/core/crashupdates.py
@@ -14,10 +14,10 @@
 KB. All requests of four engines with 128 answers each that crash at once fit in one."""
 
 MAX_RUN_MS = 3_600_000
-"""Maximum run time of a request, milliseconds."""
+"""Maximum run time of a request, milliseconds: one hour."""
 
 MAX_AGO_MS = 60_000
-"""Maximum age of a crash in an update, milliseconds."""
+"""Maximum age of a crash in an update, milliseconds: one minute."""
 
 
 class CrashUpdate(msgspec.Struct, array_like=True):
--- a/src/robinspindle/core/fingerprints.py
+++ b/src/robinspindle/core/fingerprints.py
@@ -3,8 +3,8 @@
 Each attempt of a caller has its own id. The host, the path with its query, the caller's
 key and the body stay the same. The description of a prompt is left out, as it contains
 nothing that the body doesn't. A fingerprint starts with a hash of all but the body, the
-head hash. Hashing a body of 100 kB takes 0.3 ms, in which nothing else runs, and is
-done only if the head hash is known already.
+head hash. Hashing a body of 100 kB takes 0.3 ms while other requests are processed, so
+it is done only if the head hash is known already.
 """
 
 import hashlib
--- a/src/robinspindle/core/freshness.py
+++ b/src/robinspindle/core/freshness.py
@@ -27,13 +27,13 @@
 answer can still be repeated."""
 
 PEERS_RENEW_S = 1.0
-"""A gateway that a peer renewed within this time relies on its peers, seconds: the time
-of five datagrams."""
+"""A gateway whose freshness lease a peer renewed within this time relies on its peers,
+seconds: the time of five datagrams."""
 
 DENY_SHARE = 0.8
-"""Fraction of the time in which a configuration must be in force. Up to this age of the
-configuration, a gateway calls a key that it doesn't name unknown; beyond, it answers
-that it can't tell."""
+"""Fraction of the time in which a configuration must be in force. While its
+configuration is not older than this, a gateway calls keys that are not in it unknown.
+When it is older, the gateway answers that it can't tell."""
 
 
 @dataclass
--- a/src/robinspindle/core/peerdigests.py
+++ b/src/robinspindle/core/peerdigests.py
@@ -88,7 +88,7 @@
     Attributes:
         service: The service of the engines.
         prefill_only: Whether the engines are prefill-only.
-        sums: FitSums over the gateway's own measurements, to fit the prefill model.
+        sums: Sums over the gateway's own measurements, to fit the prefill model.
     """
 
     service: str
--- a/src/robinspindle/core/relays.py
+++ b/src/robinspindle/core/relays.py
@@ -8,9 +8,9 @@
 one gateway to another.
 
 There is no election. All gateways rank the members of a group in the same order, each
-one uses the first member that it receives datagrams from, and any gateway acts as relay
-for those that send to it. Two relays in one group do no harm, as each one aggregates
-the digests of only those gateways that send to it.
+one chooses the first member that answers it, and any gateway acts as relay for those
+that send to it. Two relays in one group do no harm, as each one aggregates the digests
+of only those gateways that send to it.
 """
 
 import math
