--- a/benches/queueing.py
+++ b/benches/queueing.py
@@ -13,12 +13,12 @@
 
 from benches.measure import find_percentile, save_data
 from robinspindle.core.routing import (
-    View,
+    Candidate,
     choose_at_random,
     choose_least_in_flight,
     estimate_answer,
-    make_choose_by_estimate,
-    make_round_robin,
+    make_estimate_policy,
+    make_round_robin_policy,
 )
 from robinspindle.messages import Report, Work
 from robinspindle.tables import format_table
@@ -87,28 +87,32 @@
     probes: dict[str, int] = field(default_factory=dict)
 
 
-def choose_best_of_all(views: list[View], work: Work, rng: random.Random) -> View:
+def choose_best_of_all(
+    views: list[Candidate], work: Work, rng: random.Random
+) -> Candidate:
     """Take the best estimate of all targets rather than of two."""
     return min(views, key=lambda view: estimate_answer(view, work))
 
 
-def choose_uncorrected(views: list[View], work: Work, rng: random.Random) -> View:
+def choose_uncorrected(
+    views: list[Candidate], work: Work, rng: random.Random
+) -> Candidate:
     """Estimate from the late report alone, without the own requests' exact count."""
     blind = [
-        View(view.target, view.report, in_flight=view.report.own) for view in views
+        Candidate(view.target, view.report, in_flight=view.report.own) for view in views
     ]
-    return make_choose_by_estimate(MANY)(blind, work, rng)
+    return make_estimate_policy(MANY)(blind, work, rng)
 
 
 def make_policies(entries: int = 1) -> dict[str, Callable]:
     """Make the policies that compete, anew for each run."""
     return {
-        "estimate": make_choose_by_estimate(entries),
-        "estimate, two choices": make_choose_by_estimate(MANY),
+        "estimate": make_estimate_policy(entries),
+        "estimate, two choices": make_estimate_policy(MANY),
         "estimate, all targets": choose_best_of_all,
         "two choices, report alone": choose_uncorrected,
         "least in flight": choose_least_in_flight,
-        "round robin": make_round_robin(),
+        "round robin": make_round_robin_policy(),
         "random": choose_at_random,
         "fewest probes in flight": None,
     }
@@ -177,7 +181,7 @@
         least = min(entry.probes.values())
         return rng.choice([t for t in targets if entry.probes[t.name] == least])
     views = [
-        View(
+        Candidate(
             target.name,
             entry.reports.get(target.name) or target.make_report(entry),
             in_flight=entry.in_flight[target.name],
--- a/benches/slopes.py
+++ b/benches/slopes.py
@@ -34,7 +34,7 @@
 )
 from robinspindle.core.dispatch import HELLO_S, MOST_HELLO_S, PEERS_AT_FULL_RATE
 from robinspindle.core.records import Published, encode_record
-from robinspindle.core.routing import View, estimate_answer, make_choose_by_estimate
+from robinspindle.core.routing import Candidate, estimate_answer, make_estimate_policy
 from robinspindle.core.state import State, encode_state
 from robinspindle.core.statemachine import apply
 from robinspindle.logservice import CONTROL, LogService
@@ -186,9 +186,9 @@
 
 def measure_routing(candidates: int) -> dict:
     """Measure one choice among so many candidates."""
-    views = [View(f"t{n}", _make_report(n)) for n in range(candidates)]
+    views = [Candidate(f"t{n}", _make_report(n)) for n in range(candidates)]
     rng = random.Random(1)
-    choose = make_choose_by_estimate(420)
+    choose = make_estimate_policy(420)
     work = Work(request="r", kind="generate", pool="m", prompt_tokens=100, max_tokens=9)
     begun = time.process_time()
     for _ in range(SAMPLES):
--- a/fuzz/driver.py
+++ b/fuzz/driver.py
@@ -115,7 +115,7 @@
 
 def _is_settled(world: World) -> bool:
     """Whether nothing is under way any more, so that waiting shows nothing new."""
-    flights = any(entry.entry.flights for entry in world.list_entries())
+    flights = any(entry.entry.active_requests for entry in world.list_entries())
     plans = any(
         plan.status == "running"
         for process in world.processes.values()
--- a/fuzz/gatewaymutants.py
+++ b/fuzz/gatewaymutants.py
@@ -1,7 +1,7 @@
 """Deliberate faults in the decisions of gateways, each to be noticed."""
 
 from fuzz.mutants import Mutant
-from robinspindle.core import authority, budgets, forwarding, routes, targets
+from robinspindle.core import authority, forwarding, retrywindows, routes, targets
 
 
 def _announce_as_told(right):
@@ -38,7 +38,7 @@
     ),
     Mutant("never take as gone", targets, "is_gone", lambda r: lambda *_: False),
     Mutant(
-        "repeat without a budget", budgets, "take_repeat", lambda r: lambda *_: True
+        "repeat without a budget", retrywindows, "take_retry", lambda r: lambda *_: True
     ),
     Mutant(
         "send again whatever ran",
--- a/fuzz/gatewayworld.py
+++ b/fuzz/gatewayworld.py
@@ -9,10 +9,17 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from robinspindle.core import authority, budgets, forwarding, health, routes, targets
+from robinspindle.core import (
+    authority,
+    forwarding,
+    health,
+    retrywindows,
+    routes,
+    targets,
+)
 from robinspindle.core.authority import Authority, Claim
-from robinspindle.core.budgets import RepeatBudget
 from robinspindle.core.lifetimes import find_id, find_start_ms, make_lifetime
+from robinspindle.core.retrywindows import WindowedRetryBudget
 from robinspindle.core.routes import Route, RouteTable
 from robinspindle.core.targets import Announcement, Directory
 
@@ -139,7 +146,7 @@
     offset_s: float
     authority: Authority
     directory: Directory
-    budget: RepeatBudget
+    budget: WindowedRetryBudget
     table: RouteTable | None = None
     claim: Claim | None = None
     read: dict[str, int] = field(default_factory=dict)
@@ -191,7 +198,7 @@
             offset_s=1000.0 * number,
             authority=Authority(name, LEASE_S),
             directory=Directory(missing_grace_s=HOLD_S),
-            budget=RepeatBudget(RATIO, SLACK / SHARES, WINDOW_S),
+            budget=WindowedRetryBudget(RATIO, SLACK / SHARES, WINDOW_S),
         )
         world.gateways.append(view)
     for number in range(TARGETS):
@@ -312,7 +319,7 @@
     now = world.now + view.offset_s
     route = ONCE if second % 2 else AGAIN
     world.requests.append(world.now)
-    budgets.count_request(view.budget, now, SERVICE)
+    retrywindows.count_request(view.budget, now, SERVICE)
     tried: set[str] = set()
     offers = believed_runs = runs = 0
     while True:
@@ -330,7 +337,7 @@
             break
         if not forwarding.may_send_again(route, offers, believed_runs):
             break
-        if not budgets.take_repeat(view.budget, now, SERVICE):
+        if not retrywindows.take_retry(view.budget, now, SERVICE):
             break
         world.repeats.append(world.now)
     world.attempts.append(Attempt(route, runs, says_not_run=believed_runs == 0))
--- a/fuzz/mutants.py
+++ b/fuzz/mutants.py
@@ -9,21 +9,21 @@
 
 from robinspindle import controlstream
 from robinspindle.core import (
+    agentcontrol,
     claims,
     dispatch,
-    host,
+    failover,
     orders,
     plans,
     runs,
     scheduling,
     statemachine,
-    streams,
-    watching,
+    tokenbuffer,
 )
-from robinspindle.core.claiming import start_run
-from robinspindle.core.claims import Claim, Held
+from robinspindle.core.activerequests import abandon_claim, finish
+from robinspindle.core.claims import Claim, ClaimedKey
 from robinspindle.core.effects import Ended, GiveOrder, Refusal, Send
-from robinspindle.core.flights import abandon_claim, finish
+from robinspindle.core.idempotency import start_run
 from robinspindle.core.records import Published, RoleActed, Step, decode_record
 from robinspindle.core.state import Order, State
 from robinspindle.messages import Refused
@@ -116,8 +116,8 @@
 
 
 def _end_early(right):
-    def end(entry, flight, reason):
-        return finish(entry, flight, Ended(count=0, finish=reason))
+    def end(entry, active, reason):
+        return finish(entry, active, Ended(count=0, finish=reason))
 
     return end
 
@@ -125,7 +125,7 @@
 def _let_last_win(right):
     def apply(table, offset, record):
         if isinstance(record, Claim):
-            table.held[record.key] = Held(offset, record)
+            table.claimed[record.key] = ClaimedKey(offset, record)
         else:
             right(table, offset, record)
 
@@ -133,11 +133,11 @@
 
 
 def _retry_all(right):
-    def lose(entry, flight, now, reason):
-        flight.is_started = False
-        return right(entry, flight, now, reason)
+    def handle_lost_run(entry, active, now, reason):
+        active.is_started = False
+        return right(entry, active, now, reason)
 
-    return lose
+    return handle_lost_run
 
 
 def _allow_two(right):
@@ -162,7 +162,7 @@
 
 def _release_all(right):
     def release(entry, key):
-        held = entry.claims.held.get(key)
+        held = entry.claims.claimed.get(key)
         if held is not None and held.outcome is None:
             abandon_claim(entry, held.claim)
         return right(entry, key)
@@ -171,7 +171,7 @@
 
 
 def _hand_back_running(right):
-    def hand_back(the_host, now):
+    def return_queued_runs(the_host, now):
         effects = right(the_host, now)
         for run in the_host.runs.values():
             if run.status == runs.RUNNING:
@@ -182,7 +182,7 @@
                     effects.append(Send(peer, refused))
         return effects
 
-    return hand_back
+    return return_queued_runs
 
 
 def _skip_checkpoint(right):
@@ -199,11 +199,11 @@
         "start before the claim has won",
         dispatch,
         "claim_key",
-        lambda right: lambda entry, flight, now: start_run(flight, now, 0),
+        lambda right: lambda entry, active, now: start_run(active, now, 0),
     ),
     Mutant(
         "give an order with requests in flight",
-        runs.Host,
+        runs.AgentState,
         "is_idle",
         lambda right: property(lambda self: True),
     ),
@@ -214,26 +214,28 @@
         _refold_published,
     ),
     Mutant("fold a repeated record again", controlstream, "apply", _forget_repeats),
-    Mutant("say not run in doubt", watching, "explain_unknown", _say_not_run),
-    Mutant("deny a run that is not known", host, "_deny", _deny_all),
-    Mutant("deliver a token twice", streams, "add_tokens", _keep_repeats),
+    Mutant("say not run in doubt", failover, "make_unknown_refusal", _say_not_run),
+    Mutant("deny a run that is not known", agentcontrol, "_deny", _deny_all),
+    Mutant("deliver a token twice", tokenbuffer, "add_tokens", _keep_repeats),
     Mutant("end before the answer is whole", dispatch, "_end_if_whole", _end_early),
     Mutant("let the last claim win", claims, "_apply_one", _let_last_win),
-    Mutant("retry what may not be repeated", watching, "lose", _retry_all),
+    Mutant("retry what may not be repeated", failover, "handle_lost_run", _retry_all),
     Mutant(
         "confirm against an old base", plans, "find_refusal", lambda r: lambda s, p: ""
     ),
     Mutant("give two orders at a time", orders, "decide_orders", _allow_two),
     Mutant("use an old fencing number", orders, "decide_orders", _use_old_number),
-    Mutant("take new work while leaving", runs.Host, "is_serving", _ignore_drain),
-    Mutant("release claims of others", dispatch, "release_abandoned", _release_all),
+    Mutant("take new work while leaving", runs.AgentState, "is_serving", _ignore_drain),
+    Mutant(
+        "release claims of others", dispatch, "release_abandoned_claim", _release_all
+    ),
     Mutant(
         "stop with requests in flight",
-        runs.Host,
+        runs.AgentState,
         "is_idle",
         lambda right: property(lambda self: self.is_stopping or right.fget(self)),
     ),
-    Mutant("hand back what runs", scheduling, "hand_back", _hand_back_running),
+    Mutant("hand back what runs", scheduling, "return_queued_runs", _hand_back_running),
     Mutant(
         "leave a model without targets",
         plans,
@@ -245,8 +247,8 @@
     ),
     Mutant(
         "hold back a final answer",
-        watching,
-        "check_flight",
-        lambda right: lambda entry, flight, now: [],
+        failover,
+        "check_timeouts",
+        lambda right: lambda entry, active, now: [],
     ),
 )
--- a/fuzz/rules.py
+++ b/fuzz/rules.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from fuzz.world import Process, World
-from robinspindle.core.flights import Promise
+from robinspindle.core.activerequests import LatencyObjective
 from robinspindle.core.plans import make_plan
 from robinspindle.core.records import (
     CalledOff,
@@ -20,7 +20,7 @@
 from robinspindle.exceptions import IntentError
 from robinspindle.messages import Work
 
-PROMISE = Promise(10.0, 20.0)
+PROMISE = LatencyObjective(10.0, 20.0)
 TARGETS = ("e1", "e2", "e3", "s1", "s2")
 ENTRIES = ("a", "b")
 ROLES = ("prefill", "decode", "mixed")
--- a/fuzz/world.py
+++ b/fuzz/world.py
@@ -7,7 +7,8 @@
 
 from fuzz.fakes import CHANGE_S, STEP_S, FakeLog, FakeTarget
 from robinspindle.controlstream import ControlStream
-from robinspindle.core import catchup, dispatch, host, leases
+from robinspindle.core import agentcontrol, catchup, dispatch, leases
+from robinspindle.core.activerequests import Dispatcher, LatencyObjective
 from robinspindle.core.claims import AnyClaim, apply_claims, encode_claims
 from robinspindle.core.effects import (
     Abort,
@@ -23,14 +24,13 @@
     Refusal,
     Send,
 )
-from robinspindle.core.flights import Dispatcher, Promise
 from robinspindle.core.records import (
     AnyRecord,
     Checkpoint,
     ObservedEngine,
     encode_record,
 )
-from robinspindle.core.runs import Host
+from robinspindle.core.runs import AgentState
 from robinspindle.core.state import encode_state
 from robinspindle.logservice import CLAIMS, CONTROL, RecordsRead
 from robinspindle.messages import (
@@ -77,7 +77,7 @@
     claims_next: int = 0
     waiting: list[tuple[float, AnyClaim]] = field(default_factory=list)
     entry: Dispatcher | None = None
-    host: Host | None = None
+    host: AgentState | None = None
     watch: leases.LeaseWatch | None = None
 
 
@@ -172,7 +172,9 @@
         if process.host is not None:
             self._reach(
                 process,
-                lambda: self._carry_out(process, host.stop(process.host, self.now)),
+                lambda: self._carry_out(
+                    process, agentcontrol.stop(process.host, self.now)
+                ),
             )
 
     def pause(self, name: str) -> None:
@@ -195,7 +197,7 @@
             call()
         self.now = end
 
-    def submit(self, entry: str, work: Work, promise: Promise) -> None:
+    def submit(self, entry: str, work: Work, promise: LatencyObjective) -> None:
         """Send a caller's request to an entry."""
         process = self.processes[entry]
         row = CallerRow(work, (entry, process.life), self.now)
@@ -242,7 +244,7 @@
 
     def _begin_agent(self, process: Process) -> None:
         incarnation = f"{process.name}/{process.life}"
-        process.host = Host(process.name, incarnation)
+        process.host = AgentState(process.name, incarnation)
         self._tick(process)
 
     def _later(self, delay_s: float, call: Callable) -> None:
@@ -271,7 +273,7 @@
             self._keep_lease(process)
         else:
             self._ask_engine(process)
-            self._carry_out(process, host.tick(process.host, self.now))
+            self._carry_out(process, agentcontrol.tick(process.host, self.now))
             target = self.targets[process.name]
             target.step(self.now, self.rng)
         self._end_stopped(process)
@@ -281,9 +283,9 @@
         if not process.is_stopping:
             return
         if process.entry is not None:
-            is_idle = not process.entry.flights
+            is_idle = not process.entry.active_requests
         else:
-            is_idle = process.host.may_end
+            is_idle = process.host.can_exit
         if not is_idle:
             return
         target = self.targets.get(process.name)
@@ -316,7 +318,7 @@
         if process.entry is not None:
             dispatch.fold_state(process.entry, state)
         else:
-            effects = host.fold_state(process.host, self.now, state)
+            effects = agentcontrol.fold_state(process.host, self.now, state)
             self._carry_out(process, effects)
 
     def _write_claims(self, process: Process) -> None:
@@ -343,7 +345,7 @@
         target = self.targets[process.name]
         found = ObservedEngine() if target.is_service else target.found
         busy = target.is_busy(self.now)
-        effects = host.note_engine(
+        effects = agentcontrol.update_engine_state(
             process.host, self.now, found, busy, str(target.boot)
         )
         self._carry_out(process, effects)
@@ -403,7 +405,7 @@
         if process.entry is not None:
             effects = dispatch.receive(process.entry, self.now, peer, message)
         else:
-            effects = host.receive(process.host, self.now, peer, message)
+            effects = agentcontrol.receive(process.host, self.now, peer, message)
         self._carry_out(process, effects)
 
     def _deliver(self, request: str, event: Event) -> None:
@@ -434,13 +436,13 @@
         self, process: Process, key: tuple[str, int], kind: str, value: str
     ) -> None:
         if kind == "token":
-            effects = host.add_tokens(process.host, self.now, key, (value,))
+            effects = agentcontrol.add_tokens(process.host, self.now, key, (value,))
         elif kind == "end":
             finished = Finished(request="", attempt=0, finish="stop", status=200)
-            effects = host.finish_run(process.host, self.now, key, finished)
+            effects = agentcontrol.finish_run(process.host, self.now, key, finished)
         else:
             ran = "no" if kind == "unreached" else "unknown"
-            effects = host.fail_run(process.host, self.now, key, ran, value)
+            effects = agentcontrol.fail_run(process.host, self.now, key, ran, value)
         self._carry_out(process, effects)
 
     def _give_order(self, process: Process, order: GiveOrder) -> None:
@@ -449,7 +451,7 @@
         def give() -> None:
             boot = target.boot
             if not target.take_order(self.now, order.fence, order.step):
-                end = host.end_order(
+                end = agentcontrol.end_order(
                     process.host, self.now, order.order, None, "refused number"
                 )
                 self._carry_out(process, end)
@@ -464,9 +466,9 @@
 
         def answer(lost: bool) -> None:
             if lost:
-                host.postpone_order(process.host, self.now)
+                agentcontrol.postpone_order(process.host, self.now)
                 return
-            effects = host.end_order(
+            effects = agentcontrol.end_order(
                 process.host, self.now, order.order, target.found, ""
             )
             self._carry_out(process, effects)
--- a/src/robinspindle/agent.py
+++ b/src/robinspindle/agent.py
@@ -12,7 +12,7 @@
 import zmq
 
 from robinspindle.controlstream import ControlStream
-from robinspindle.core import catchup, host
+from robinspindle.core import agentcontrol, catchup
 from robinspindle.core.effects import (
     Abort,
     AppendClaim,
@@ -22,7 +22,7 @@
     Launch,
     Send,
 )
-from robinspindle.core.runs import ENDED, RUNNING, Host
+from robinspindle.core.runs import ENDED, RUNNING, AgentState
 from robinspindle.engines import CacheEvents, Engine, EngineState
 from robinspindle.exceptions import EngineError, EngineUnreachableError, FencedError
 from robinspindle.health import make_health_server
@@ -103,7 +103,7 @@
 
     def __init__(self, settings: AgentSettings, key: FleetKey | None):
         self.settings = settings
-        self.host = Host(settings.target, uuid.uuid4().hex[:12])
+        self.host = AgentState(settings.target, uuid.uuid4().hex[:12])
         self.stream = ControlStream()
         self.metrics = AgentMetrics()
         self._rng = random.Random()
@@ -128,7 +128,7 @@
         poller.register(self._mailbox, zmq.POLLIN)
         self._link.start()
         log("The agent is listening.", target=self.host.name, at=self.settings.listen)
-        while not self.host.may_end:
+        while not self.host.can_exit:
             self._turn(wait_for_any(poller, self._mailbox, TICK_S))
         self._close()
 
@@ -147,7 +147,7 @@
             self._ticked_at = now
             self._connect_engine()
             self._ask_engine(now)
-            self._carry_out(host.tick(self.host, now))
+            self._carry_out(agentcontrol.tick(self.host, now))
             self._show_metrics()
 
     def _take_message(self, peer: str, message: AnyMessage) -> None:
@@ -159,48 +159,52 @@
             return
         if isinstance(message, Records):
             self.stream.take_records(message)
-            self._carry_out(host.fold_state(self.host, now, self.stream.state))
+            self._carry_out(agentcontrol.fold_state(self.host, now, self.stream.state))
             return
         if isinstance(message, Hello):
             own = self.stream.state.offset
             fetch = catchup.decide_fetch(self.stream.window, now, own, message.offset)
             if fetch is not None:
                 self._listener.send(peer, fetch)
-        self._carry_out(host.receive(self.host, now, peer, message))
+        self._carry_out(agentcontrol.receive(self.host, now, peer, message))
 
     def _take_item(self, item: object) -> None:
         now = time.monotonic()
         if isinstance(item, TokensCame):
-            self._carry_out(host.add_tokens(self.host, now, item.key, item.texts))
+            self._carry_out(
+                agentcontrol.add_tokens(self.host, now, item.key, item.texts)
+            )
         elif isinstance(item, RunEnded):
             self.metrics.runs.labels("whole").inc()
-            self._carry_out(host.finish_run(self.host, now, item.key, item.finished))
+            self._carry_out(
+                agentcontrol.finish_run(self.host, now, item.key, item.finished)
+            )
         elif isinstance(item, RunFailed):
             self.metrics.runs.labels("failed").inc()
             log("A run broke off.", request=item.key[0], reason=item.reason)
             self._carry_out(
-                host.fail_run(self.host, now, item.key, item.ran, item.reason)
+                agentcontrol.fail_run(self.host, now, item.key, item.ran, item.reason)
             )
         elif isinstance(item, RecordsRead):
             self.stream.take_read(item)
-            self._carry_out(host.fold_state(self.host, now, self.stream.state))
+            self._carry_out(agentcontrol.fold_state(self.host, now, self.stream.state))
         elif isinstance(item, EngineAsked):
             self._take_engine_answer(now, item)
         elif isinstance(item, OrderAnswered):
             self._take_order_answer(now, item)
         elif isinstance(item, StopAsked) and not self.host.is_stopping:
             log("The agent was asked to stop.", target=self.host.name)
-            self._carry_out(host.stop(self.host, now))
+            self._carry_out(agentcontrol.stop(self.host, now))
 
     def _take_engine_answer(self, now: float, item: EngineAsked) -> None:
         self._is_asking = False
         added, removed = item.events.added, set(item.events.removed)
         self._cache_next = item.events.next
         kept = [p for p in self.host.prefixes if p not in removed and p not in added]
-        host.note_prefixes(self.host, tuple([*kept, *added][-PREFIXES_KEPT:]))
+        agentcontrol.update_prefixes(self.host, tuple([*kept, *added][-PREFIXES_KEPT:]))
         if item.state is not None:
             self._carry_out(
-                host.note_engine(
+                agentcontrol.update_engine_state(
                     self.host,
                     now,
                     item.state.to_observed(),
@@ -213,12 +217,14 @@
         if item.state is None and not item.reason:
             log("An order's outcome is not known yet.", order=item.order)
             self.metrics.orders.labels("unknown").inc()
-            host.postpone_order(self.host, now)
+            agentcontrol.postpone_order(self.host, now)
             return
         log("An order ended.", order=item.order, reason=item.reason or "done")
         self.metrics.orders.labels("failed" if item.reason else "done").inc()
         found = item.state.to_observed() if item.state else None
-        self._carry_out(host.end_order(self.host, now, item.order, found, item.reason))
+        self._carry_out(
+            agentcontrol.end_order(self.host, now, item.order, found, item.reason)
+        )
 
     def _carry_out(self, effects: list[Effect]) -> None:
         for effect in effects:
--- a/src/robinspindle/callers.py
+++ b/src/robinspindle/callers.py
@@ -5,6 +5,7 @@
 from collections.abc import Iterator
 
 from robinspindle import completions
+from robinspindle.core.activerequests import StreamResumption
 from robinspindle.core.documents import (
     ClassSection,
     Configuration,
@@ -12,7 +13,6 @@
     WorkspaceSection,
 )
 from robinspindle.core.effects import Chunk, Ended, Event, Refusal
-from robinspindle.core.flights import Comeback
 from robinspindle.core.workspaces import digest_bearer_key
 from robinspindle.engines import HOP_HEADERS
 from robinspindle.entry import GONE, Entry
@@ -123,8 +123,8 @@
         max_tokens=body.token_limit,
         trace=request.headers.get("traceparent", ""),
     )
-    comeback = _read_comeback(request)
-    exchange = open_exchange(entry, work, workspace, work_class, comeback)
+    resumption = _read_resumption(request)
+    exchange = open_exchange(entry, work, workspace, work_class, resumption)
     head = completions.AnswerHead(shape, work.request, body.model, int(time.time()))
     if body.stream:
         first = wait_first(exchange)
@@ -185,7 +185,7 @@
     return f"{workspace.name}/{key}" if key else ""
 
 
-def _read_comeback(request: Request) -> Comeback | None:
+def _read_resumption(request: Request) -> StreamResumption | None:
     last = request.headers.get("last-event-id", "")
     if not last:
         return None
@@ -194,7 +194,7 @@
     if not target or not number.isdecimal():
         text = "Last-Event-ID is not one of this system's"
         raise make_error(400, "bad_event_id", text, "Last-Event-ID")
-    return Comeback(run, target, int(number) + 1)
+    return StreamResumption(run, target, int(number) + 1)
 
 
 def _collect(exchange: Exchange, head: completions.AnswerHead) -> Answer:
--- a/src/robinspindle/choosing.py
+++ b/src/robinspindle/choosing.py
@@ -4,7 +4,12 @@
 import random
 from dataclasses import replace
 
-from robinspindle.core import budgets, decodeplacement, prefillplacement, sizefairness
+from robinspindle.core import (
+    decodeplacement,
+    prefillplacement,
+    retrywindows,
+    sizefairness,
+)
 from robinspindle.core.engines import Engine
 from robinspindle.core.forwarding import Prompt, Request
 from robinspindle.core.prefillmodel import estimate_busy_s
@@ -154,7 +159,7 @@
         """Whether a prompt may be read apart once more; that is a repeat."""
         if passage.reads >= MOST_READS:
             return False
-        return budgets.take_repeat(self._means.budget, now, passage.service)
+        return retrywindows.take_retry(self._means.budget, now, passage.service)
 
     def _count_as_served(self, passage: Passage, now: float) -> None:
         """Count a request as served from when it is planned in time until it is lost.
--- a/src/robinspindle/core/flights.py
+++ b/src/robinspindle/core/activerequests.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from robinspindle.core import membership, retries, routing, streams
+from robinspindle.core import membership, retries, routing, tokenbuffer
 from robinspindle.core.claims import Claim, ClaimTable
 from robinspindle.core.documents import Configuration
 from robinspindle.core.effects import Deliver, Effect, Ended, Refusal, Send
@@ -17,31 +17,31 @@
 ATTACHING = "attaching"
 RUNNING = "running"
 
-COME_BACK_S = 1.0
+RETRY_AFTER_S = 1.0
 ABANDONED_KEPT = 10_000
 
 
 @dataclass
-class Flight:
+class ActiveRequest:
     """A request that is under way.
 
     Attributes:
         work: The request.
-        due: When its whole answer is due.
-        first_due: When its first token is due.
-        begun: When it came.
+        deadline: When its whole answer is due.
+        first_token_deadline: When its first token is due.
+        arrived_at: When it came.
         status: What it waits for.
-        since: When that wait began.
-        event_at: When the last event of its run came.
+        status_since: When that wait began.
+        last_event_at: When the last event of its run came.
         target: Where the current run is.
         run: The run's request id: its own, or that of a run it joined.
         attempt: The run's attempt.
         incarnation: The agent's incarnation that reserved the run.
-        tries: Attempts of its own so far.
-        offers: Offers refused so far.
-        refused: Targets that refused it, with their seconds to come back.
+        attempts: Attempts of its own so far.
+        refused_offers: Offers refused so far.
+        refusals: Targets that refused it, with their seconds to come back.
         buffer: The answer so far.
-        skip: Tokens that the caller has from an earlier stream.
+        tokens_at_caller: Tokens that the caller has from an earlier stream.
         claim: The claim of its key that it goes by.
         is_started: Whether a start was sent for the run, or it joined a started one.
         may_have_run: Whether an attempt was lost that may have run.
@@ -49,21 +49,21 @@
     """
 
     work: Work
-    due: float
-    first_due: float
-    begun: float
+    deadline: float
+    first_token_deadline: float
+    arrived_at: float
     status: str = PLACING
-    since: float = 0.0
-    event_at: float = 0.0
+    status_since: float = 0.0
+    last_event_at: float = 0.0
     target: str = ""
     run: str = ""
     attempt: int = 0
     incarnation: str = ""
-    tries: int = 0
-    offers: int = 0
-    refused: dict[str, float] = field(default_factory=dict)
-    buffer: streams.TokenBuffer = field(default_factory=streams.TokenBuffer)
-    skip: int = 0
+    attempts: int = 0
+    refused_offers: int = 0
+    refusals: dict[str, float] = field(default_factory=dict)
+    buffer: tokenbuffer.TokenBuffer = field(default_factory=tokenbuffer.TokenBuffer)
+    tokens_at_caller: int = 0
     claim: Claim | None = None
     is_started: bool = False
     may_have_run: bool = False
@@ -81,11 +81,11 @@
         state: The folded control stream.
         claims: The folded claims stream.
         evidence: What is known of each target.
-        sent: Own requests under way at each target.
-        flights: Requests under way by id.
-        abandoned: Claims given up before a start, by request and attempt.
-        budget: Retries that may still be made.
-        choose: The routing policy in force.
+        active_by_target: Own requests under way at each target.
+        active_requests: Requests under way by id.
+        abandoned_claims: Claims given up before a start, by request and attempt.
+        retry_budget: Retries that may still be made.
+        choose_target: The routing policy in force.
         policy: Its name, and the number of entries it was made for.
         decided_at: When it last decided anything, None before.
     """
@@ -96,11 +96,13 @@
     state: State = field(default_factory=State)
     claims: ClaimTable = field(default_factory=ClaimTable)
     evidence: dict[str, membership.Evidence] = field(default_factory=dict)
-    sent: dict[str, set[str]] = field(default_factory=dict)
-    flights: dict[str, Flight] = field(default_factory=dict)
-    abandoned: dict[tuple[str, int], None] = field(default_factory=dict)
-    budget: retries.RetryBudget = field(default_factory=lambda: retries.RetryBudget(0))
-    choose: Callable = routing.choose_least_in_flight
+    active_by_target: dict[str, set[str]] = field(default_factory=dict)
+    active_requests: dict[str, ActiveRequest] = field(default_factory=dict)
+    abandoned_claims: dict[tuple[str, int], None] = field(default_factory=dict)
+    retry_budget: retries.RetryBudget = field(
+        default_factory=lambda: retries.RetryBudget(0)
+    )
+    choose_target: Callable = routing.choose_least_in_flight
     policy: tuple[str, int] = ("", 0)
     decided_at: float | None = None
 
@@ -111,7 +113,7 @@
 
 
 @dataclass(frozen=True)
-class Promise:
+class LatencyObjective:
     """What a caller was promised.
 
     Attributes:
@@ -124,7 +126,7 @@
 
 
 @dataclass(frozen=True)
-class Comeback:
+class StreamResumption:
     """A caller that comes back to its stream.
 
     Attributes:
@@ -138,61 +140,63 @@
     after: int
 
 
-def finish(entry: Dispatcher, flight: Flight, ended: Ended) -> list[Effect]:
+def finish(entry: Dispatcher, active: ActiveRequest, ended: Ended) -> list[Effect]:
     """End a request with its whole answer."""
-    _remove(entry, flight)
-    return [Deliver(flight.work.request, ended)]
+    _remove(entry, active)
+    return [Deliver(active.work.request, ended)]
 
 
-def give_up(entry: Dispatcher, flight: Flight, refusal: Refusal) -> list[Effect]:
+def refuse(entry: Dispatcher, active: ActiveRequest, refusal: Refusal) -> list[Effect]:
     """End a request with a refusal, at once."""
-    effects = cancel_run(entry, flight, 0.0)
-    _remove(entry, flight)
-    return [*effects, Deliver(flight.work.request, refusal)]
+    effects = cancel_run(entry, active, 0.0)
+    _remove(entry, active)
+    return [*effects, Deliver(active.work.request, refusal)]
 
 
-def drop(entry: Dispatcher, flight: Flight, grace_s: float) -> list[Effect]:
+def drop(entry: Dispatcher, active: ActiveRequest, grace_s: float) -> list[Effect]:
     """End a request whose caller is gone."""
-    effects = cancel_run(entry, flight, grace_s)
-    _remove(entry, flight)
+    effects = cancel_run(entry, active, grace_s)
+    _remove(entry, active)
     return effects
 
 
-def cancel_run(entry: Dispatcher, flight: Flight, grace_s: float) -> list[Effect]:
+def cancel_run(
+    entry: Dispatcher, active: ActiveRequest, grace_s: float
+) -> list[Effect]:
     """Leave the current run; a claim that waits for its verdict is abandoned."""
-    leave_target(entry, flight)
-    if not flight.target:
+    leave_target(entry, active)
+    if not active.target:
         return []
-    if flight.status == CLAIMING:
-        abandon_claim(entry, flight.claim)
+    if active.status == CLAIMING:
+        abandon_claim(entry, active.claim)
     cancel = Cancel(
-        request=flight.work.request,
-        run=flight.run,
-        attempt=flight.attempt,
+        request=active.work.request,
+        run=active.run,
+        attempt=active.attempt,
         grace_s=grace_s,
     )
-    return [Send(flight.target, cancel)]
+    return [Send(active.target, cancel)]
 
 
 def abandon_claim(entry: Dispatcher, claim: Claim) -> None:
     """Remember that no start is ever sent for a claim."""
-    entry.abandoned[(claim.request, claim.attempt)] = None
-    if len(entry.abandoned) > ABANDONED_KEPT:
-        del entry.abandoned[next(iter(entry.abandoned))]
+    entry.abandoned_claims[(claim.request, claim.attempt)] = None
+    if len(entry.abandoned_claims) > ABANDONED_KEPT:
+        del entry.abandoned_claims[next(iter(entry.abandoned_claims))]
 
 
-def leave_target(entry: Dispatcher, flight: Flight) -> None:
+def leave_target(entry: Dispatcher, active: ActiveRequest) -> None:
     """Count a request no more among the own work at its target."""
-    entry.sent.get(flight.target, set()).discard(flight.work.request)
+    entry.active_by_target.get(active.target, set()).discard(active.work.request)
 
 
-def tell_ran(flight: Flight) -> str:
+def get_run_status(active: ActiveRequest) -> str:
     """Say what is known of a request's effect so far."""
-    if flight.buffer.texts:
+    if active.buffer.texts:
         return "partial"
-    return "unknown" if flight.may_have_run else "no"
+    return "unknown" if active.may_have_run else "no"
 
 
-def _remove(entry: Dispatcher, flight: Flight) -> None:
-    leave_target(entry, flight)
-    entry.flights.pop(flight.work.request, None)
+def _remove(entry: Dispatcher, active: ActiveRequest) -> None:
+    leave_target(entry, active)
+    entry.active_requests.pop(active.work.request, None)
--- a/src/robinspindle/core/admission.py
+++ b/src/robinspindle/core/admission.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from robinspindle.core.routing import is_long
+from robinspindle.core.routing import is_long_prefill
 from robinspindle.messages import Work
 
 FIRST_PREFILL_S = 0.0004
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class Pace:
+class TargetSpeed:
     """Measured speed of a target, as moving averages.
 
     Attributes:
@@ -35,20 +35,20 @@
         step_s: Seconds between two tokens of one answer.
         call_s: Seconds that a call of a plain service takes.
         answers: Tokens of an answer, by workspace.
-        best_prefill_s: The least seconds for one token of a prompt, lately.
-        best_step_s: The least seconds between two tokens, lately.
+        fastest_prefill_s: The least seconds for one token of a prompt, lately.
+        fastest_step_s: The least seconds between two tokens, lately.
     """
 
     prefill_s: float = FIRST_PREFILL_S
     step_s: float = FIRST_STEP_S
     call_s: float = FIRST_CALL_S
     answers: dict[str, float] = field(default_factory=dict)
-    best_prefill_s: float = FIRST_PREFILL_S
-    best_step_s: float = FIRST_STEP_S
+    fastest_prefill_s: float = FIRST_PREFILL_S
+    fastest_step_s: float = FIRST_STEP_S
 
 
 @dataclass
-class Demand:
+class OfferedLoad:
     """Work offered lately, as sums that decay.
 
     Attributes:
@@ -63,28 +63,28 @@
 
 
 @dataclass
-class Waiting:
+class QueuedRequest:
     """A request that waits at the agent.
 
     Attributes:
         work: The request.
-        due: When its whole answer is due.
-        first_due: When its first token is due.
+        deadline: When its whole answer is due.
+        first_token_deadline: When its first token is due.
         queued_at: When it came.
         service_s: Estimated seconds of one slot that it takes.
         prefill_s: Estimated seconds of them until its first token.
     """
 
     work: Work
-    due: float
-    first_due: float
+    deadline: float
+    first_token_deadline: float
     queued_at: float
     service_s: float
     prefill_s: float
 
 
 @dataclass(frozen=True)
-class Verdict:
+class AdmissionDecision:
     """Whether a request is taken in.
 
     Attributes:
@@ -96,7 +96,7 @@
     retry_s: float = 0.0
 
 
-def note_offer(demand: Demand, now: float, work: Work) -> None:
+def note_offered_work(demand: OfferedLoad, now: float, work: Work) -> None:
     """Add an offered request to the demand, whether it is taken in or not."""
     kept = math.exp((demand.at - now) / DEMAND_WINDOW_S)
     prompt = 0 if work.stage == "decode" else work.prompt_tokens
@@ -106,26 +106,26 @@
     demand.at = now
 
 
-def read_rate(total: float, demand: Demand, now: float) -> float:
+def compute_rate(total: float, demand: OfferedLoad, now: float) -> float:
     """Turn one decaying sum into tokens a second."""
     return total * math.exp((demand.at - now) / DEMAND_WINDOW_S) / DEMAND_WINDOW_S
 
 
-def learn_first_token(pace: Pace, seconds: float, tokens: int) -> None:
+def note_first_token(pace: TargetSpeed, seconds: float, tokens: int) -> None:
     """Take note of the time from the start of a run to its first token.
 
     A short prompt says more about the running batch than about reading.
     """
     if tokens >= LEAST_LEARNT_TOKENS and seconds > 0:
         pace.prefill_s += SMOOTHING * (seconds / tokens - pace.prefill_s)
-        pace.best_prefill_s = _follow_best(pace.best_prefill_s, seconds / tokens)
+        pace.fastest_prefill_s = _follow_best(pace.fastest_prefill_s, seconds / tokens)
 
 
-def learn_steps(pace: Pace, seconds: float, steps: int) -> None:
+def note_steps(pace: TargetSpeed, seconds: float, steps: int) -> None:
     """Take note of the time that the later tokens of a run took."""
     if steps > 0 and seconds > 0:
         pace.step_s += SMOOTHING * (seconds / steps - pace.step_s)
-        pace.best_step_s = _follow_best(pace.best_step_s, seconds / steps)
+        pace.fastest_step_s = _follow_best(pace.fastest_step_s, seconds / steps)
 
 
 def _follow_best(best: float, seconds: float) -> float:
@@ -137,25 +137,25 @@
     return min(seconds, best + RISE * (seconds - best))
 
 
-def learn_answer(pace: Pace, workspace: str, tokens: int) -> None:
+def note_answer_length(pace: TargetSpeed, workspace: str, tokens: int) -> None:
     """Take note of the length of a whole answer."""
     known = pace.answers.get(workspace, float(tokens))
     pace.answers[workspace] = known + SMOOTHING * (tokens - known)
 
 
-def learn_call(pace: Pace, seconds: float) -> None:
+def note_call(pace: TargetSpeed, seconds: float) -> None:
     """Take note of the time that a call took."""
     pace.call_s += SMOOTHING * (seconds - pace.call_s)
 
 
-def estimate_prefill(pace: Pace, work: Work) -> float:
+def estimate_prefill(pace: TargetSpeed, work: Work) -> float:
     """Estimate the seconds from the start of a run to its first token."""
     if work.kind == "call" or work.stage == "decode":
         return 0.0
     return (work.prompt_tokens + len(work.resumed)) * pace.prefill_s
 
 
-def estimate_service(pace: Pace, work: Work) -> float:
+def estimate_service(pace: TargetSpeed, work: Work) -> float:
     """Estimate the seconds of one slot that a request takes."""
     if work.kind == "call":
         return pace.call_s
@@ -169,7 +169,7 @@
 
 
 def estimate_wait(
-    ahead: Iterable[Waiting], remaining: list[float], slots: int
+    ahead: Iterable[QueuedRequest], remaining: list[float], slots: int
 ) -> float:
     """Estimate how long a request waits for a slot behind others.
 
@@ -185,7 +185,7 @@
     return soonest + queued / slots
 
 
-def estimate_prefill_wait(ahead: Iterable[Waiting], unread_s: float) -> float:
+def estimate_prefill_wait(ahead: Iterable[QueuedRequest], unread_s: float) -> float:
     """Estimate how long a long prompt waits until it is read.
 
     Long prompts are read one after the other: several at once would only share the
@@ -195,10 +195,10 @@
         ahead: Requests that go before it.
         unread_s: Seconds left of the long prompt that is being read.
     """
-    return unread_s + sum(w.prefill_s for w in ahead if is_long(w.prefill_s))
+    return unread_s + sum(w.prefill_s for w in ahead if is_long_prefill(w.prefill_s))
 
 
-def order_key(waiting: Waiting, shares: dict[str, int]) -> tuple:
+def make_queue_key(waiting: QueuedRequest, shares: dict[str, int]) -> tuple:
     """Order of the queue: priority, then fairness, then slack to the deadline.
 
     Args:
@@ -209,18 +209,20 @@
     return (
         work.priority,
         shares.get(work.workspace, 0),
-        waiting.due - waiting.service_s,
+        waiting.deadline - waiting.service_s,
     )
 
 
-def count_slots(slots: int, priority: int) -> int:
+def count_usable_slots(slots: int, priority: int) -> int:
     """Slots that a priority may use: urgent work always finds one kept free."""
     if priority <= URGENT_PRIORITY or slots <= URGENT_RESERVED:
         return slots
     return slots - URGENT_RESERVED
 
 
-def judge(waiting: Waiting, now: float, wait_s: float, queue_s: float) -> Verdict:
+def decide_admission(
+    waiting: QueuedRequest, now: float, wait_s: float, queue_s: float
+) -> AdmissionDecision:
     """Decide whether a request is taken in, with the estimates of this moment.
 
     Args:
@@ -231,24 +233,24 @@
     """
     request = waiting.work.request
     if wait_s > queue_s:
-        return Verdict("full", spread_retry(request, wait_s - queue_s))
+        return AdmissionDecision("full", add_retry_jitter(request, wait_s - queue_s))
     if wait_s <= 0.0:
         # Whoever is not served now would not be served sooner by coming back.
-        return Verdict()
+        return AdmissionDecision()
     over_s = max(
-        _find_excess(wait_s, waiting.service_s, waiting.due - now),
-        _find_excess(wait_s, waiting.prefill_s, waiting.first_due - now),
+        _find_excess(wait_s, waiting.service_s, waiting.deadline - now),
+        _find_excess(wait_s, waiting.prefill_s, waiting.first_token_deadline - now),
     )
     if over_s > 0:
-        return Verdict("late", spread_retry(request, over_s))
-    return Verdict()
+        return AdmissionDecision("late", add_retry_jitter(request, over_s))
+    return AdmissionDecision()
 
 
-def is_hopeless(waiting: Waiting, now: float) -> bool:
+def cannot_meet_deadline(waiting: QueuedRequest, now: float) -> bool:
     """Whether a request that still waits can't keep its promise any more."""
     latest = min(
-        waiting.due - waiting.service_s * CAUTION,
-        waiting.first_due - waiting.prefill_s * CAUTION,
+        waiting.deadline - waiting.service_s * CAUTION,
+        waiting.first_token_deadline - waiting.prefill_s * CAUTION,
     )
     return now > max(latest, waiting.queued_at + LEAST_PATIENCE_S)
 
@@ -258,7 +260,7 @@
     return wait_s + min(work_s, left_s * MOST_SHARE_OF_TIME) - left_s
 
 
-def spread_retry(request: str, seconds: float) -> float:
+def add_retry_jitter(request: str, seconds: float) -> float:
     """Spread callers that were refused together, so that they don't come together."""
     digest = hashlib.blake2b(request.encode(), digest_size=2).digest()
     fraction = int.from_bytes(digest, "big") / 65536
--- a/src/robinspindle/core/host.py
+++ b/src/robinspindle/core/agentcontrol.py
@@ -9,21 +9,21 @@
 from robinspindle.core import admission, orders, scheduling
 from robinspindle.core.effects import AppendClaim, Effect, Send
 from robinspindle.core.records import ObservedEngine
-from robinspindle.core.routing import is_long
+from robinspindle.core.routing import is_long_prefill
 from robinspindle.core.runs import (
     ENDED,
     QUEUED,
     RESERVED,
     RUNNING,
-    Host,
+    AgentState,
     Run,
     drop_listener,
     end_run,
     estimate_prefill_wait,
     estimate_wait,
     make_outcome,
+    make_queued_request,
     make_report,
-    make_waiting,
     must_run,
     never_ran,
     replay,
@@ -50,9 +50,11 @@
 STARTED_KEPT = 50_000
 
 
-def receive(host: Host, now: float, peer: str, message: AnyMessage) -> list[Effect]:
+def receive(
+    host: AgentState, now: float, peer: str, message: AnyMessage
+) -> list[Effect]:
     """Decide what to do about a message from an entry."""
-    host.heard[peer] = now
+    host.last_heard_at[peer] = now
     if isinstance(message, Hello):
         return [Send(peer, _answer_hello(host, now, peer, message))]
     if isinstance(message, Offer):
@@ -66,14 +68,14 @@
     return []
 
 
-def fold_state(host: Host, now: float, state: State) -> list[Effect]:
+def fold_state(host: AgentState, now: float, state: State) -> list[Effect]:
     """Take in the newly folded control stream."""
     host.state = state
     return tick(host, now)
 
 
-def note_engine(
-    host: Host, now: float, found: ObservedEngine, busy: bool, boot: str
+def update_engine_state(
+    host: AgentState, now: float, found: ObservedEngine, busy: bool, boot: str
 ) -> list[Effect]:
     """Take in the engine's answer to the question what it is.
 
@@ -90,13 +92,13 @@
     return tick(host, now)
 
 
-def postpone_order(host: Host, now: float) -> None:
+def postpone_order(host: AgentState, now: float) -> None:
     """Take in that nothing is known of an order; the engine is asked first."""
     orders.postpone_order(host.executor, now)
 
 
 def end_order(
-    host: Host, now: float, number: int, found: ObservedEngine | None, reason: str
+    host: AgentState, now: float, number: int, found: ObservedEngine | None, reason: str
 ) -> list[Effect]:
     """Take in how an order ended; without a reason it took effect."""
     if found is not None:
@@ -107,25 +109,25 @@
     return effects + tick(host, now)
 
 
-def stop(host: Host, now: float) -> list[Effect]:
+def stop(host: AgentState, now: float) -> list[Effect]:
     """Begin a planned stop: no new work, the queue goes back, runs go on."""
     host.is_stopping = True
-    notices = [Send(peer, make_report(host, now, peer)) for peer in host.heard]
+    notices = [Send(peer, make_report(host, now, peer)) for peer in host.last_heard_at]
     return notices + tick(host, now)
 
 
-def tick(host: Host, now: float) -> list[Effect]:
+def tick(host: AgentState, now: float) -> list[Effect]:
     """Do what time or a change of state makes due."""
     effects: list[Effect] = []
-    effects += scheduling.hand_back(host, now)
-    effects += scheduling.drop_stale(host, now)
-    effects += scheduling.launch_next(host, now)
+    effects += scheduling.return_queued_runs(host, now)
+    effects += scheduling.remove_stale_runs(host, now)
+    effects += scheduling.launch_queued_runs(host, now)
     effects += orders.decide_orders(host.executor, host.target, now, host.is_idle)
     return effects
 
 
 def add_tokens(
-    host: Host, now: float, key: tuple[str, int], texts: tuple[str, ...]
+    host: AgentState, now: float, key: tuple[str, int], texts: tuple[str, ...]
 ) -> list[Effect]:
     """Take in tokens from the engine and pass them on, numbered."""
     run = host.runs.get(key)
@@ -134,8 +136,8 @@
     fresh = len(run.texts) - len(run.work.resumed)
     if fresh == 0:
         run.first_at = now
-        seconds = now - run.started_at - host.pace.step_s
-        admission.learn_first_token(host.pace, seconds, run.work.prompt_tokens)
+        seconds = now - run.started_at - host.speed.step_s
+        admission.note_first_token(host.speed, seconds, run.work.prompt_tokens)
     first = len(run.texts)
     run.texts.extend(texts)
     return [
@@ -145,7 +147,7 @@
 
 
 def finish_run(
-    host: Host, now: float, key: tuple[str, int], finished: Finished
+    host: AgentState, now: float, key: tuple[str, int], finished: Finished
 ) -> list[Effect]:
     """Take in the end of a run.
 
@@ -159,11 +161,11 @@
     if run is None or run.status != RUNNING:
         return []
     if run.work.kind == "call":
-        admission.learn_call(host.pace, now - run.started_at)
+        admission.note_call(host.speed, now - run.started_at)
     else:
-        admission.learn_answer(host.pace, run.work.workspace, len(run.texts))
+        admission.note_answer_length(host.speed, run.work.workspace, len(run.texts))
         steps = len(run.texts) - len(run.work.resumed) - 1
-        admission.learn_steps(host.pace, now - run.first_at, steps)
+        admission.note_steps(host.speed, now - run.first_at, steps)
     effects = end_run(host, now, run, finished)
     if run.work.key:
         effects.append(AppendClaim(make_outcome(run, finished)))
@@ -171,7 +173,7 @@
 
 
 def fail_run(
-    host: Host, now: float, key: tuple[str, int], ran: Ran, reason: str
+    host: AgentState, now: float, key: tuple[str, int], ran: Ran, reason: str
 ) -> list[Effect]:
     """Take in that a run broke off, and what is known of its effect."""
     run = host.runs.get(key)
@@ -184,14 +186,14 @@
     return effects + tick(host, now)
 
 
-def note_prefixes(host: Host, prefixes: tuple[str, ...]) -> None:
+def update_prefixes(host: AgentState, prefixes: tuple[str, ...]) -> None:
     """Take in what the engine's cache holds, as far as its events tell."""
     if prefixes != host.prefixes:
         host.prefixes = prefixes
         host.prefix_version += 1
 
 
-def _answer_hello(host: Host, now: float, peer: str, hello: Hello) -> Report:
+def _answer_hello(host: AgentState, now: float, peer: str, hello: Hello) -> Report:
     report = make_report(host, now, peer)
     if hello.prefix_version == host.prefix_version:
         return report
@@ -200,9 +202,9 @@
     return msgspec.structs.replace(report, prefixes=prefixes)
 
 
-def _take_offer(host: Host, now: float, peer: str, offer: Offer) -> list[Effect]:
+def _take_offer(host: AgentState, now: float, peer: str, offer: Offer) -> list[Effect]:
     work = offer.work
-    admission.note_offer(host.demand, now, work)
+    admission.note_offered_work(host.offered_load, now, work)
     refusal = _find_refusal(host, now, offer)
     if refusal.reason:
         refused = Refused(
@@ -217,12 +219,12 @@
         work=work,
         attempt=offer.attempt,
         status=QUEUED if work.repeatable else RESERVED,
-        waiting=make_waiting(host, now, offer),
+        waiting=make_queued_request(host, now, offer),
         listeners={(peer, work.request): None},
         texts=list(work.resumed),
     )
     host.runs[(work.request, offer.attempt)] = run
-    launched = scheduling.launch_next(host, now)
+    launched = scheduling.launch_queued_runs(host, now)
     accepted = Accepted(
         request=work.request,
         attempt=offer.attempt,
@@ -232,23 +234,25 @@
     return [Send(peer, accepted), *launched]
 
 
-def _find_refusal(host: Host, now: float, offer: Offer) -> admission.Verdict:
+def _find_refusal(
+    host: AgentState, now: float, offer: Offer
+) -> admission.AdmissionDecision:
     work = offer.work
     if not host.is_serving:
-        return admission.Verdict("leaving", scheduling.LEAVING_RETRY_S)
+        return admission.AdmissionDecision("leaving", scheduling.LEAVING_RETRY_S)
     if host.target.pool != work.pool:
-        return admission.Verdict("pool")
+        return admission.AdmissionDecision("pool")
     if work.adapter and work.adapter not in host.target.adapters:
-        return admission.Verdict("pool")
-    waiting = make_waiting(host, now, offer)
+        return admission.AdmissionDecision("pool")
+    waiting = make_queued_request(host, now, offer)
     wait_s = estimate_wait(host, now, waiting)
-    if is_long(waiting.prefill_s):
+    if is_long_prefill(waiting.prefill_s):
         wait_s = max(wait_s, estimate_prefill_wait(host, now, waiting))
     queue_s = host.configuration.policy.queue_s
-    return admission.judge(waiting, now, wait_s, queue_s)
+    return admission.decide_admission(waiting, now, wait_s, queue_s)
 
 
-def _start(host: Host, now: float, peer: str, start: Start) -> list[Effect]:
+def _start(host: AgentState, now: float, peer: str, start: Start) -> list[Effect]:
     run = host.runs.get((start.request, start.attempt))
     if run is None or run.status != RESERVED:
         refused = Refused(
@@ -257,35 +261,35 @@
         return [Send(peer, refused)]
     run.status = QUEUED
     _remember_start(host, (start.request, start.attempt))
-    return scheduling.launch_next(host, now)
+    return scheduling.launch_queued_runs(host, now)
 
 
-def _remember_start(host: Host, key: tuple[str, int]) -> None:
+def _remember_start(host: AgentState, key: tuple[str, int]) -> None:
     host.started[key] = None
     if len(host.started) > STARTED_KEPT:
         del host.started[next(iter(host.started))]
-        host.has_forgotten = True
+        host.has_evicted_starts = True
 
 
-def _cancel(host: Host, now: float, peer: str, cancel: Cancel) -> list[Effect]:
+def _cancel(host: AgentState, now: float, peer: str, cancel: Cancel) -> list[Effect]:
     run = host.runs.get((cancel.run, cancel.attempt))
     if run is None or run.status == ENDED:
         return []
     drop_listener(run, peer, cancel.request)
     if run.listeners or must_run(run):
         return []
-    run.drop_at = now + cancel.grace_s
+    run.cancel_at = now + cancel.grace_s
     return tick(host, now)
 
 
-def _attach(host: Host, now: float, peer: str, attach: Attach) -> list[Effect]:
+def _attach(host: AgentState, now: float, peer: str, attach: Attach) -> list[Effect]:
     run = _find_run(host, attach)
     if run is None or run.status == RESERVED or never_ran(run):
         return _deny(host, now, peer, attach, run)
     if run.status == ENDED and run.end is None:
         return [Send(peer, _answer_attach(attach, run.attempt, "unknown"))]
     run.listeners[(peer, attach.request)] = None
-    run.drop_at = None
+    run.cancel_at = None
     joined = Send(peer, _answer_attach(attach, run.attempt, "joined"))
     return [joined, *replay(run, peer, attach.request, attach.after)]
 
@@ -295,7 +299,7 @@
 
 
 def _deny(
-    host: Host, now: float, peer: str, attach: Attach, run: Run | None
+    host: AgentState, now: float, peer: str, attach: Attach, run: Run | None
 ) -> list[Effect]:
     """Answer that there is no run, and see to it that there never will be one.
 
@@ -303,7 +307,7 @@
     it starts nothing, so what it has not started so far never starts.
     """
     key = (attach.run, attach.attempt)
-    knows = attach.incarnation == host.incarnation and not host.has_forgotten
+    knows = attach.incarnation == host.incarnation and not host.has_evicted_starts
     status = "not run" if knows and key not in host.started else "unknown"
     if run is not None and run.status == RESERVED:
         run.status = ENDED
@@ -312,7 +316,7 @@
     return [denied, *tick(host, now)]
 
 
-def _find_run(host: Host, attach: Attach) -> Run | None:
+def _find_run(host: AgentState, attach: Attach) -> Run | None:
     if attach.attempt >= 0:
         return host.runs.get((attach.run, attach.attempt))
     found = [
--- a/src/robinspindle/core/claims.py
+++ b/src/robinspindle/core/claims.py
@@ -54,7 +54,7 @@
         attempt: Its attempt.
         status: HTTP status of a call's answer.
         headers: Headers of a call's answer.
-        body: The answer; empty when it is longer than ``BODY_KEPT``.
+        body: The answer; empty when it is longer than ``MAX_STORED_BODY_BYTES``.
         finish: Why a generation ended.
         count: Tokens of a generation.
         whole: Whether the body is here.
@@ -71,7 +71,7 @@
     whole: bool = True
 
 
-BODY_KEPT = 4096
+MAX_STORED_BODY_BYTES = 4096
 AnyClaim = Claim | Release | Outcome
 
 
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True)
-class Held:
+class ClaimedKey:
     """A key that is claimed.
 
     Attributes:
@@ -105,11 +105,11 @@
 
     Attributes:
         offset: Offset of the last record folded.
-        held: Claimed keys, oldest first.
+        claimed: Claimed keys, oldest first.
     """
 
     offset: int = -1
-    held: dict[str, Held] = field(default_factory=dict)
+    claimed: dict[str, ClaimedKey] = field(default_factory=dict)
 
 
 def encode_claims(records: list[AnyClaim]) -> bytes:
@@ -141,16 +141,16 @@
 
 
 def _apply_one(table: ClaimTable, offset: int, record: AnyClaim) -> None:
-    held = table.held.get(record.key)
+    held = table.claimed.get(record.key)
     if isinstance(record, Claim):
         if held is None:
-            table.held[record.key] = Held(offset, record)
-            if len(table.held) > CLAIMS_KEPT:
-                del table.held[next(iter(table.held))]
+            table.claimed[record.key] = ClaimedKey(offset, record)
+            if len(table.claimed) > CLAIMS_KEPT:
+                del table.claimed[next(iter(table.claimed))]
         return
     if held is None or held.outcome or not is_same_claim(held.claim, record):
         return
     if isinstance(record, Release):
-        del table.held[record.key]
+        del table.claimed[record.key]
     else:
-        table.held[record.key] = replace(held, outcome=record)
+        table.claimed[record.key] = replace(held, outcome=record)
--- a/src/robinspindle/core/dispatch.py
+++ b/src/robinspindle/core/dispatch.py
@@ -7,14 +7,22 @@
 
 from collections.abc import Callable
 
-from robinspindle.core import membership, retries, routing, streams, watching
-from robinspindle.core.claiming import (
-    claim_key,
-    consider_key,
-    judge_claim,
-    release_abandoned,
-    release_and_retry,
-    send_attach,
+from robinspindle.core import failover, membership, retries, routing, tokenbuffer
+from robinspindle.core.activerequests import (
+    ATTACHING,
+    CLAIMING,
+    PLACING,
+    RELEASING,
+    RETRY_AFTER_S,
+    RUNNING,
+    ActiveRequest,
+    Dispatcher,
+    LatencyObjective,
+    StreamResumption,
+    drop,
+    finish,
+    leave_target,
+    refuse,
 )
 from robinspindle.core.effects import (
     Chunk,
@@ -25,24 +33,16 @@
     Send,
     Started,
 )
-from robinspindle.core.flights import (
-    ATTACHING,
-    CLAIMING,
-    COME_BACK_S,
-    PLACING,
-    RELEASING,
-    RUNNING,
-    Comeback,
-    Dispatcher,
-    Flight,
-    Promise,
-    drop,
-    finish,
-    give_up,
-    leave_target,
+from robinspindle.core.idempotency import (
+    claim_key,
+    handle_claim_result,
+    release_abandoned_claim,
+    release_and_retry,
+    resolve_key,
+    send_attach,
 )
 from robinspindle.core.pauses import LEAST_LATE_S
-from robinspindle.core.placing import list_peers, place
+from robinspindle.core.placement import list_peers, place
 from robinspindle.core.state import State
 from robinspindle.messages import (
     Accepted,
@@ -71,8 +71,8 @@
     entry: Dispatcher,
     now: float,
     work: Work,
-    promise: Promise,
-    comeback: Comeback | None = None,
+    promise: LatencyObjective,
+    resumption: StreamResumption | None = None,
 ) -> list[Effect]:
     """Take in a request that passed its workspace's limits.
 
@@ -81,32 +81,32 @@
         now: The present time, monotonic seconds.
         work: The request.
         promise: What its caller was promised.
-        comeback: The earlier stream that the caller comes back to, if it does.
+        resumption: The earlier stream that the caller comes back to, if it does.
     """
     _note_time(entry, now)
     due, first_due = now + promise.whole_s, now + promise.first_s
-    flight = Flight(work, due, first_due, begun=now, since=now)
-    entry.flights[work.request] = flight
+    active = ActiveRequest(work, due, first_due, arrived_at=now, status_since=now)
+    entry.active_requests[work.request] = active
     if entry.configuration is None:
         text = "no configuration is in force yet"
-        refusal = Refusal(503, "starting", text, "no", COME_BACK_S)
-        return give_up(entry, flight, refusal)
-    retries.earn(entry.budget)
-    if comeback is not None:
-        flight.skip = comeback.after
+        refusal = Refusal(503, "starting", text, "no", RETRY_AFTER_S)
+        return refuse(entry, active, refusal)
+    retries.add_first_attempt(entry.retry_budget)
+    if resumption is not None:
+        active.tokens_at_caller = resumption.after
         attach = Attach(
-            request=work.request, run=comeback.run, workspace=work.workspace
+            request=work.request, run=resumption.run, workspace=work.workspace
         )
-        return send_attach(flight, now, comeback.target, attach)
+        return send_attach(active, now, resumption.target, attach)
     if work.key:
-        return consider_key(entry, flight, now)
-    return place(entry, flight, now)
+        return resolve_key(entry, active, now)
+    return place(entry, active, now)
 
 
-def hang_up(entry: Dispatcher, request: str) -> list[Effect]:
+def handle_disconnect(entry: Dispatcher, request: str) -> list[Effect]:
     """Take note that a caller is gone; it may come back to its stream."""
-    flight = entry.flights.get(request)
-    return drop(entry, flight, HANG_UP_GRACE_S) if flight else []
+    active = entry.active_requests.get(request)
+    return drop(entry, active, HANG_UP_GRACE_S) if active else []
 
 
 def receive(
@@ -122,11 +122,11 @@
     report = getattr(message, "report", None)
     if report is not None:
         effects += _note_report(entry, now, peer, report)
-    flight = entry.flights.get(getattr(message, "request", ""))
-    if flight is None or flight.target != peer or not _is_current(flight, message):
+    active = entry.active_requests.get(getattr(message, "request", ""))
+    if active is None or active.target != peer or not _is_current(active, message):
         return effects
-    flight.event_at = now
-    return effects + _HANDLERS[type(message)](entry, flight, now, message)
+    active.last_event_at = now
+    return effects + _HANDLERS[type(message)](entry, active, now, message)
 
 
 def fold_state(entry: Dispatcher, state: State) -> None:
@@ -135,11 +135,11 @@
     configuration = entry.configuration
     if configuration is None:
         return
-    entry.budget.share = configuration.policy.retry_share
+    entry.retry_budget.share = configuration.policy.retry_share
     policy = (configuration.policy.routing, configuration.fleet.entries)
     if policy != entry.policy:
         entry.policy = policy
-        entry.choose = routing.make_policy(*policy)
+        entry.choose_target = routing.make_policy(*policy)
     for name in [name for name in entry.evidence if name not in state.targets]:
         del entry.evidence[name]
 
@@ -149,18 +149,18 @@
     _note_time(entry, now)
     effects: list[Effect] = []
     for key in keys:
-        effects += release_abandoned(entry, key)
+        effects += release_abandoned_claim(entry, key)
     waiting = [
-        flight
-        for flight in entry.flights.values()
-        if flight.work.key in keys and flight.status in (CLAIMING, RELEASING)
+        active
+        for active in entry.active_requests.values()
+        if active.work.key in keys and active.status in (CLAIMING, RELEASING)
     ]
-    for flight in waiting:
-        effects += judge_claim(entry, flight, now)
+    for active in waiting:
+        effects += handle_claim_result(entry, active, now)
     return effects
 
 
-def note_listed(entry: Dispatcher, leaving: set[str]) -> None:
+def apply_vm_list(entry: Dispatcher, leaving: set[str]) -> None:
     """Take in the platform's list: the VMs that it names as leaving."""
     configuration = entry.configuration
     if configuration is None:
@@ -175,8 +175,8 @@
     _note_time(entry, now)
     effects: list[Effect] = []
     effects += _greet(entry, now)
-    for flight in list(entry.flights.values()):
-        effects += watching.check_flight(entry, flight, now)
+    for active in list(entry.active_requests.values()):
+        effects += failover.check_timeouts(entry, active, now)
     return effects
 
 
@@ -192,9 +192,9 @@
     held_s = now - before
     for evidence in entry.evidence.values():
         membership.note_process_pause(evidence, now, held_s)
-    for flight in entry.flights.values():
-        flight.since = min(now, flight.since + held_s)
-        flight.event_at = min(now, flight.event_at + held_s)
+    for active in entry.active_requests.values():
+        active.status_since = min(now, active.status_since + held_s)
+        active.last_event_at = min(now, active.last_event_at + held_s)
 
 
 def _greet(entry: Dispatcher, now: float) -> list[Effect]:
@@ -208,7 +208,9 @@
     effects: list[Effect] = []
     for name in peers:
         evidence = entry.evidence.setdefault(name, membership.Evidence())
-        period_s = HELLO_S if entry.sent.get(name) else min(idle_s, MOST_HELLO_S)
+        period_s = (
+            HELLO_S if entry.active_by_target.get(name) else min(idle_s, MOST_HELLO_S)
+        )
         if now - evidence.hello_sent_at < period_s:
             continue
         evidence.hello_sent_at = now
@@ -218,10 +220,10 @@
     return effects
 
 
-def _is_current(flight: Flight, message: AnyMessage) -> bool:
+def _is_current(active: ActiveRequest, message: AnyMessage) -> bool:
     if type(message) not in _HANDLERS:
         return False
-    return flight.status == ATTACHING or message.attempt == flight.attempt
+    return active.status == ATTACHING or message.attempt == active.attempt
 
 
 def _note_report(
@@ -233,121 +235,127 @@
     if last is None or last.incarnation == report.incarnation:
         return []
     effects: list[Effect] = []
-    for flight in list(entry.flights.values()):
-        is_there = flight.target == peer and flight.status in (CLAIMING, RUNNING)
-        if is_there and flight.incarnation != report.incarnation:
-            effects += watching.lose(
-                entry, flight, now, "the target's agent was restarted"
+    for active in list(entry.active_requests.values()):
+        is_there = active.target == peer and active.status in (CLAIMING, RUNNING)
+        if is_there and active.incarnation != report.incarnation:
+            effects += failover.handle_lost_run(
+                entry, active, now, "the target's agent was restarted"
             )
     return effects
 
 
 def _take_accepted(
-    entry: Dispatcher, flight: Flight, now: float, message: Accepted
+    entry: Dispatcher, active: ActiveRequest, now: float, message: Accepted
 ) -> list[Effect]:
-    if flight.status != PLACING:
+    if active.status != PLACING:
         return []
     if message.report is not None:
-        flight.incarnation = message.report.incarnation
+        active.incarnation = message.report.incarnation
     if message.reserved:
-        return claim_key(entry, flight, now)
-    flight.status = RUNNING
-    flight.since = now
-    return [Deliver(flight.work.request, Started(flight.target, flight.run))]
+        return claim_key(entry, active, now)
+    active.status = RUNNING
+    active.status_since = now
+    return [Deliver(active.work.request, Started(active.target, active.run))]
 
 
 def _take_refused(
-    entry: Dispatcher, flight: Flight, now: float, message: Refused
+    entry: Dispatcher, active: ActiveRequest, now: float, message: Refused
 ) -> list[Effect]:
-    if flight.status in (RELEASING, ATTACHING):
+    if active.status in (RELEASING, ATTACHING):
         return []
-    flight.refused[flight.target] = message.retry_s
-    flight.decode_target = ""
+    active.refusals[active.target] = message.retry_s
+    active.decode_target = ""
     if message.reason != "leaving":
-        flight.offers += 1
-    if flight.is_started:
-        return release_and_retry(entry, flight, now)
-    leave_target(entry, flight)
-    return place(entry, flight, now)
+        active.refused_offers += 1
+    if active.is_started:
+        return release_and_retry(entry, active, now)
+    leave_target(entry, active)
+    return place(entry, active, now)
 
 
 def _take_tokens(
-    entry: Dispatcher, flight: Flight, now: float, message: Tokens
+    entry: Dispatcher, active: ActiveRequest, now: float, message: Tokens
 ) -> list[Effect]:
-    if flight.status != RUNNING:
+    if active.status != RUNNING:
         return []
-    fresh = streams.add_tokens(flight.buffer, message.first, message.texts)
-    effects = _deliver_tokens(flight, fresh)
-    return effects + _end_if_whole(entry, flight, "stop")
+    fresh = tokenbuffer.add_tokens(active.buffer, message.first, message.texts)
+    effects = _deliver_tokens(active, fresh)
+    return effects + _end_if_whole(entry, active, "stop")
 
 
-def _deliver_tokens(flight: Flight, fresh: list[str]) -> list[Effect]:
-    first = len(flight.buffer.texts) - len(fresh)
-    skipped = max(0, flight.skip - first)
+def _deliver_tokens(active: ActiveRequest, fresh: list[str]) -> list[Effect]:
+    first = len(active.buffer.texts) - len(fresh)
+    skipped = max(0, active.tokens_at_caller - first)
     texts = tuple(fresh[skipped:])
     if not texts:
         return []
-    return [Deliver(flight.work.request, Chunk(first + skipped, texts))]
+    return [Deliver(active.work.request, Chunk(first + skipped, texts))]
 
 
 def _take_finished(
-    entry: Dispatcher, flight: Flight, now: float, message: Finished
+    entry: Dispatcher, active: ActiveRequest, now: float, message: Finished
 ) -> list[Effect]:
-    if flight.status != RUNNING:
+    if active.status != RUNNING:
         return []
-    membership.note_success(entry.evidence[flight.target])
-    if flight.decode_target:
-        leave_target(entry, flight)
-        return place(entry, flight, now)
-    if flight.work.kind == "call":
+    membership.note_success(entry.evidence[active.target])
+    if active.decode_target:
+        leave_target(entry, active)
+        return place(entry, active, now)
+    if active.work.kind == "call":
         ended = Ended(status=message.status, headers=message.headers, body=message.body)
-        return finish(entry, flight, ended)
-    flight.buffer.count = message.count
-    return _end_if_whole(entry, flight, message.finish) or [watching.ask_again(flight)]
+        return finish(entry, active, ended)
+    active.buffer.count = message.count
+    return _end_if_whole(entry, active, message.finish) or [
+        failover.send_run_query(active)
+    ]
 
 
-def _end_if_whole(entry: Dispatcher, flight: Flight, reason: str) -> list[Effect]:
-    if not flight.buffer.is_whole:
+def _end_if_whole(
+    entry: Dispatcher, active: ActiveRequest, reason: str
+) -> list[Effect]:
+    if not active.buffer.is_whole:
         return []
-    return finish(entry, flight, Ended(count=flight.buffer.count, finish=reason))
+    return finish(entry, active, Ended(count=active.buffer.count, finish=reason))
 
 
 def _take_failed(
-    entry: Dispatcher, flight: Flight, now: float, message: Failed
+    entry: Dispatcher, active: ActiveRequest, now: float, message: Failed
 ) -> list[Effect]:
-    if flight.status != RUNNING:
+    if active.status != RUNNING:
         return []
-    membership.note_failure(entry.evidence[flight.target], now)
-    if flight.is_started and message.ran == "no":
-        flight.refused[flight.target] = COME_BACK_S
-        return release_and_retry(entry, flight, now)
-    return watching.lose(entry, flight, now, message.reason)
+    membership.note_failure(entry.evidence[active.target], now)
+    if active.is_started and message.ran == "no":
+        active.refusals[active.target] = RETRY_AFTER_S
+        return release_and_retry(entry, active, now)
+    return failover.handle_lost_run(entry, active, now, message.reason)
 
 
 def _take_attached(
-    entry: Dispatcher, flight: Flight, now: float, message: Attached
+    entry: Dispatcher, active: ActiveRequest, now: float, message: Attached
 ) -> list[Effect]:
-    if flight.status not in (ATTACHING, RUNNING):
+    if active.status not in (ATTACHING, RUNNING):
         return []
     if message.status == "joined":
-        return _join(flight, now, message)
+        return _join(active, now, message)
     if message.status == "not run":
-        return release_and_retry(entry, flight, now)
-    if flight.status == ATTACHING and not flight.work.key:
+        return release_and_retry(entry, active, now)
+    if active.status == ATTACHING and not active.work.key:
         text = "the stream can't be resumed any more; send the request again"
         refusal = Refusal(409, "stream_gone", text, "unknown")
-        return give_up(entry, flight, refusal)
-    return watching.lose(entry, flight, now, "its target has no memory of it")
+        return refuse(entry, active, refusal)
+    return failover.handle_lost_run(
+        entry, active, now, "its target has no memory of it"
+    )
 
 
-def _join(flight: Flight, now: float, message: Attached) -> list[Effect]:
-    if flight.status == RUNNING:
+def _join(active: ActiveRequest, now: float, message: Attached) -> list[Effect]:
+    if active.status == RUNNING:
         return []
-    flight.status = RUNNING
-    flight.since = now
-    flight.attempt = message.attempt
-    flight.is_started = bool(flight.work.key)
-    return [Deliver(flight.work.request, Started(flight.target, flight.run))]
+    active.status = RUNNING
+    active.status_since = now
+    active.attempt = message.attempt
+    active.is_started = bool(active.work.key)
+    return [Deliver(active.work.request, Started(active.target, active.run))]
 
 
 _HANDLERS: dict[type, Callable] = {
--- /dev/null
+++ b/src/robinspindle/core/failover.py
@@ -0,0 +1,108 @@
+"""Watching requests under way: what was lost goes on elsewhere, or ends truthfully."""
+
+import msgspec
+
+from robinspindle.core import membership, retries, tokenbuffer
+from robinspindle.core.activerequests import (
+    ATTACHING,
+    CLAIMING,
+    PLACING,
+    RELEASING,
+    RETRY_AFTER_S,
+    RUNNING,
+    ActiveRequest,
+    Dispatcher,
+    cancel_run,
+    get_run_status,
+    refuse,
+)
+from robinspindle.core.effects import Effect, Refusal, Send
+from robinspindle.core.idempotency import make_unknown_refusal, release_and_retry
+from robinspindle.core.placement import place
+from robinspindle.messages import Attach
+
+OFFER_S = 1.0
+CLAIM_S = 3.0
+ATTACH_S = 2.0
+STALL_S = 1.0
+GAP_S = 0.05
+LOST_S = 1.5
+MIN_ATTEMPT_S = 0.05
+HARD_LIMIT_S = 120.0
+
+
+def handle_lost_run(
+    entry: Dispatcher, active: ActiveRequest, now: float, reason: str
+) -> list[Effect]:
+    """Go on after the current run was lost: elsewhere, or say what is known."""
+    if active.is_started or (active.work.key and active.status == ATTACHING):
+        return refuse(entry, active, make_unknown_refusal(reason))
+    effects = cancel_run(entry, active, 0.0)
+    if active.status == CLAIMING:
+        return effects + release_and_retry(entry, active, now)
+    active.may_have_run |= active.work.repeatable
+    active.decode_target = ""
+    active.refusals[active.target] = RETRY_AFTER_S
+    if not retries.take_retry(
+        entry.retry_budget, active.attempts, active.deadline - now, MIN_ATTEMPT_S
+    ):
+        text = f"the target was lost ({reason}) and no retry is left"
+        refusal = Refusal(
+            502, "target_lost", text, get_run_status(active), RETRY_AFTER_S
+        )
+        return effects + refuse(entry, active, refusal)
+    resumed = tuple(active.buffer.texts)
+    active.buffer = tokenbuffer.TokenBuffer(texts=list(resumed))
+    active.work = msgspec.structs.replace(active.work, resumed=resumed)
+    return effects + place(entry, active, now)
+
+
+def check_timeouts(
+    entry: Dispatcher, active: ActiveRequest, now: float
+) -> list[Effect]:
+    """Do what is due for one request: nothing waits for ever."""
+    waited = now - active.status_since
+    if active.status == PLACING and waited > OFFER_S:
+        return handle_lost_run(entry, active, now, "the offer was not answered")
+    if active.status in (CLAIMING, RELEASING) and waited > CLAIM_S:
+        text = "the log service can't be reached, so the request was not run"
+        refusal = Refusal(503, "log_unavailable", text, "no", RETRY_AFTER_S)
+        return refuse(entry, active, refusal)
+    if active.status == ATTACHING and waited > ATTACH_S:
+        return handle_lost_run(entry, active, now, "its target does not answer")
+    if active.status == RUNNING:
+        return _check_run(entry, active, now)
+    return []
+
+
+def _check_run(entry: Dispatcher, active: ActiveRequest, now: float) -> list[Effect]:
+    evidence = entry.evidence.get(active.target)
+    if evidence is None or evidence.heard_at is None:
+        return handle_lost_run(entry, active, now, "the target is no longer configured")
+    if now - evidence.heard_at > LOST_S:
+        membership.note_failure(evidence, now)
+        return handle_lost_run(entry, active, now, "the target fell silent")
+    if now > max(active.deadline, active.arrived_at + HARD_LIMIT_S):
+        return refuse(entry, active, _explain_too_long(active))
+    if now - active.last_event_at > (GAP_S if active.buffer.has_gap else STALL_S):
+        active.last_event_at = now
+        return [send_run_query(active)]
+    return []
+
+
+def _explain_too_long(active: ActiveRequest) -> Refusal:
+    ran = "unknown" if active.is_started else "partial"
+    text = f"no whole answer within {HARD_LIMIT_S:.0f} seconds"
+    return Refusal(504, "too_long", text, ran, RETRY_AFTER_S)
+
+
+def send_run_query(active: ActiveRequest) -> Effect:
+    """Ask after a run that says nothing: its events or its start may be lost."""
+    attach = Attach(
+        request=active.work.request,
+        run=active.run,
+        attempt=active.attempt,
+        after=len(active.buffer.texts),
+        incarnation=active.incarnation if active.is_started else "",
+    )
+    return Send(active.target, attach)
--- a/src/robinspindle/core/retries.py
+++ b/src/robinspindle/core/retries.py
@@ -4,7 +4,7 @@
 
 LEAST_BUDGET = 3.0
 MOST_BUDGET = 50.0
-MOST_ATTEMPTS = 6
+MAX_ATTEMPTS = 6
 
 
 @dataclass
@@ -20,12 +20,14 @@
     left: float = LEAST_BUDGET
 
 
-def earn(budget: RetryBudget) -> None:
+def add_first_attempt(budget: RetryBudget) -> None:
     """Note a first try."""
     budget.left = min(MOST_BUDGET, budget.left + budget.share)
 
 
-def spend(budget: RetryBudget, attempts: int, left_s: float, least_s: float) -> bool:
+def take_retry(
+    budget: RetryBudget, attempts: int, left_s: float, least_s: float
+) -> bool:
     """Decide whether one more try may be made, and take it from the budget.
 
     Args:
@@ -37,7 +39,7 @@
     Returns:
         Whether to try again.
     """
-    if attempts >= MOST_ATTEMPTS or left_s <= least_s or budget.left < 1.0:
+    if attempts >= MAX_ATTEMPTS or left_s <= least_s or budget.left < 1.0:
         return False
     budget.left -= 1.0
     return True
--- a/src/robinspindle/core/budgets.py
+++ b/src/robinspindle/core/retrywindows.py
@@ -14,7 +14,7 @@
 
 
 @dataclass
-class Repeats:
+class ServiceWindow:
     """Requests and repeats of one service at one entry.
 
     Attributes:
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class RepeatBudget:
+class WindowedRetryBudget:
     """Repeats of all services at one entry.
 
     Attributes:
@@ -40,15 +40,15 @@
     ratio: float = 0.0
     fixed: float = 0.0
     window_s: float = 0.0
-    services: dict[str, Repeats] = field(default_factory=dict)
+    services: dict[str, ServiceWindow] = field(default_factory=dict)
 
 
-def count_request(budget: RepeatBudget, now: float, service: str) -> None:
+def count_request(budget: WindowedRetryBudget, now: float, service: str) -> None:
     """Take note of a request that was taken in."""
     _find(budget, now, service).requests.append(now)
 
 
-def take_repeat(budget: RepeatBudget, now: float, service: str) -> bool:
+def take_retry(budget: WindowedRetryBudget, now: float, service: str) -> bool:
     """Take one repeat from the budget, if there is one."""
     used = _find(budget, now, service)
     allowed = CAUTION * budget.ratio * len(used.requests) + budget.fixed
@@ -58,8 +58,8 @@
     return True
 
 
-def _find(budget: RepeatBudget, now: float, service: str) -> Repeats:
-    used = budget.services.setdefault(service, Repeats())
+def _find(budget: WindowedRetryBudget, now: float, service: str) -> ServiceWindow:
+    used = budget.services.setdefault(service, ServiceWindow())
     for times in (used.requests, used.repeats):
         while times and times[0] <= now - budget.window_s:
             times.popleft()
--- a/src/robinspindle/core/runs.py
+++ b/src/robinspindle/core/runs.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from robinspindle.core import admission, orders, routing
-from robinspindle.core.claims import BODY_KEPT, Outcome
+from robinspindle.core.claims import MAX_STORED_BODY_BYTES, Outcome
 from robinspindle.core.documents import Configuration, TargetSection
 from robinspindle.core.effects import Effect, Send
 from robinspindle.core.state import State, Target, read_configuration
@@ -34,25 +34,25 @@
         started_at: When the engine got it.
         first_at: When its first token came.
         ended_at: When it ended.
-        drop_at: When it is dropped because nobody listens, None while one does.
+        cancel_at: When it is dropped because nobody listens, None while one does.
         end: Its last message.
     """
 
     work: Work
     attempt: int
     status: str
-    waiting: admission.Waiting
+    waiting: admission.QueuedRequest
     listeners: dict[tuple[str, str], None]
     texts: list[str] = field(default_factory=list)
     started_at: float = 0.0
     first_at: float = 0.0
     ended_at: float = 0.0
-    drop_at: float | None = None
+    cancel_at: float | None = None
     end: Finished | Failed | None = None
 
 
 @dataclass
-class Host:
+class AgentState:
     """All that an agent knows.
 
     Attributes:
@@ -60,30 +60,30 @@
         incarnation: Name of this run of the agent.
         state: The folded control stream.
         executor: What is being done about orders.
-        pace: Measured speed of the target.
-        demand: Work offered lately.
+        speed: Measured speed of the target.
+        offered_load: Work offered lately.
         runs: Runs by request id and attempt.
         prefixes: Digests of cached prefixes, from the engine's late events.
         prefix_version: Number of that list; 0 for the empty one at first.
         is_stopping: Whether the agent's process was asked to stop.
-        heard: When each peer was last heard.
+        last_heard_at: When each peer was last heard.
         started: Attempts of not repeatable requests that were started here.
-        has_forgotten: Whether an entry of ``started`` was ever dropped.
+        has_evicted_starts: Whether an entry of ``started`` was ever dropped.
     """
 
     name: str
     incarnation: str
     state: State = field(default_factory=State)
     executor: orders.Executor = None
-    pace: admission.Pace = field(default_factory=admission.Pace)
-    demand: admission.Demand = field(default_factory=admission.Demand)
+    speed: admission.TargetSpeed = field(default_factory=admission.TargetSpeed)
+    offered_load: admission.OfferedLoad = field(default_factory=admission.OfferedLoad)
     runs: dict[tuple[str, int], Run] = field(default_factory=dict)
     prefixes: tuple[str, ...] = ()
     prefix_version: int = 0
     is_stopping: bool = False
-    heard: dict[str, float] = field(default_factory=dict)
+    last_heard_at: dict[str, float] = field(default_factory=dict)
     started: dict[tuple[str, int], None] = field(default_factory=dict)
-    has_forgotten: bool = False
+    has_evicted_starts: bool = False
 
     def __post_init__(self):
         if self.executor is None:
@@ -124,12 +124,12 @@
         return all(run.status == ENDED for run in self.runs.values())
 
     @property
-    def may_end(self) -> bool:
+    def can_exit(self) -> bool:
         """Whether the process, asked to stop, has nothing under way any more."""
         return self.is_stopping and self.is_idle and self.executor.active_order < 0
 
 
-def make_report(host: Host, now: float, peer: str) -> Report:
+def make_report(host: AgentState, now: float, peer: str) -> Report:
     """Tell a peer the target's load."""
     active = list_active(host)
     running = [run for run in active if run.status == RUNNING]
@@ -144,29 +144,37 @@
         wait_s=estimate_wait(host, now, None),
         prefill_wait_s=estimate_prefill_wait(host, now, None),
         own_prefill_s=_sum_own_unread(active, now, peer),
-        prefill_s=host.pace.best_prefill_s,
-        step_s=host.pace.best_step_s,
+        prefill_s=host.speed.fastest_prefill_s,
+        step_s=host.speed.fastest_step_s,
         slots=host.section.slots if host.section else 1,
         prefix_version=host.prefix_version,
-        prompt_rate=admission.read_rate(host.demand.prompt_tokens, host.demand, now),
-        token_rate=admission.read_rate(host.demand.answer_tokens, host.demand, now),
+        prompt_rate=admission.compute_rate(
+            host.offered_load.prompt_tokens, host.offered_load, now
+        ),
+        token_rate=admission.compute_rate(
+            host.offered_load.answer_tokens, host.offered_load, now
+        ),
         offset=host.state.offset,
     )
 
 
-def make_waiting(host: Host, now: float, offer: Offer) -> admission.Waiting:
+def make_queued_request(
+    host: AgentState, now: float, offer: Offer
+) -> admission.QueuedRequest:
     """Estimate what an offered request takes here."""
-    return admission.Waiting(
+    return admission.QueuedRequest(
         work=offer.work,
-        due=now + offer.left_s,
-        first_due=now + offer.first_left_s,
+        deadline=now + offer.left_s,
+        first_token_deadline=now + offer.first_left_s,
         queued_at=now,
-        service_s=admission.estimate_service(host.pace, offer.work),
-        prefill_s=admission.estimate_prefill(host.pace, offer.work),
+        service_s=admission.estimate_service(host.speed, offer.work),
+        prefill_s=admission.estimate_prefill(host.speed, offer.work),
     )
 
 
-def estimate_wait(host: Host, now: float, newcomer: admission.Waiting | None) -> float:
+def estimate_wait(
+    host: AgentState, now: float, newcomer: admission.QueuedRequest | None
+) -> float:
     """Estimate the wait for a slot, of ordinary work where there is no newcomer."""
     active = list_active(host)
     remaining = [
@@ -179,12 +187,12 @@
     return admission.estimate_wait(
         _list_ahead(active, priority),
         remaining,
-        admission.count_slots(slots, priority),
+        admission.count_usable_slots(slots, priority),
     )
 
 
 def estimate_prefill_wait(
-    host: Host, now: float, newcomer: admission.Waiting | None
+    host: AgentState, now: float, newcomer: admission.QueuedRequest | None
 ) -> float:
     """Estimate the wait of a long prompt until it is read."""
     active = list_active(host)
@@ -201,7 +209,7 @@
     """Add up a peer's own part of the wait for long prompts."""
     unread = 0.0
     for run in active:
-        if not routing.is_long(run.waiting.prefill_s):
+        if not routing.is_long_prefill(run.waiting.prefill_s):
             continue
         if not any(name == peer for name, _ in run.listeners):
             continue
@@ -215,15 +223,15 @@
 def is_reading_long(run: Run) -> bool:
     """Whether the engine is reading a long prompt for a run."""
     is_unread = run.status == RUNNING and run.first_at == 0.0
-    return is_unread and routing.is_long(run.waiting.prefill_s)
+    return is_unread and routing.is_long_prefill(run.waiting.prefill_s)
 
 
-def list_active(host: Host) -> list[Run]:
+def list_active(host: AgentState) -> list[Run]:
     """List the runs that have not ended."""
     return [run for run in host.runs.values() if run.status != ENDED]
 
 
-def _list_ahead(active: list[Run], priority: int) -> list[admission.Waiting]:
+def _list_ahead(active: list[Run], priority: int) -> list[admission.QueuedRequest]:
     return [
         run.waiting
         for run in active
@@ -243,7 +251,9 @@
     return effects
 
 
-def end_run(host: Host, now: float, run: Run, end: Finished | Failed) -> list[Effect]:
+def end_run(
+    host: AgentState, now: float, run: Run, end: Finished | Failed
+) -> list[Effect]:
     """End a run and tell its listeners."""
     run.status = ENDED
     run.ended_at = now
@@ -277,7 +287,7 @@
     body = finished.body
     if run.work.kind == "generate":
         body = "".join(run.texts).encode()
-    whole = len(body) <= BODY_KEPT
+    whole = len(body) <= MAX_STORED_BODY_BYTES
     return Outcome(
         key=run.work.key,
         request=run.work.request,
--- a/src/robinspindle/core/scheduling.py
+++ b/src/robinspindle/core/scheduling.py
@@ -2,7 +2,7 @@
 
 from robinspindle.core import admission
 from robinspindle.core.effects import Abort, Effect, Launch, Send
-from robinspindle.core.routing import is_long
+from robinspindle.core.routing import is_long_prefill
 from robinspindle.core.runs import (
     ENDED,
     KEEP_ENDED_S,
@@ -10,7 +10,7 @@
     RESERVATION_S,
     RESERVED,
     RUNNING,
-    Host,
+    AgentState,
     Run,
     drop_listener,
     is_reading_long,
@@ -23,7 +23,7 @@
 ENTRY_LOST_S = 10.0
 
 
-def launch_next(host: Host, now: float) -> list[Effect]:
+def launch_queued_runs(host: AgentState, now: float) -> list[Effect]:
     """Give the engine as many waiting requests as it has free slots for."""
     effects: list[Effect] = []
     if host.section is None:
@@ -37,7 +37,7 @@
         effects.append(Launch(run.work.request, run.attempt, run.work))
 
 
-def _find_next(host: Host) -> Run | None:
+def _find_next(host: AgentState) -> Run | None:
     running = [run for run in host.runs.values() if run.status == RUNNING]
     shares: dict[str, int] = {}
     for run in running:
@@ -47,15 +47,16 @@
         run
         for run in host.runs.values()
         if run.status == QUEUED
-        and len(running) < admission.count_slots(host.section.slots, run.work.priority)
-        and not (is_reading and is_long(run.waiting.prefill_s))
+        and len(running)
+        < admission.count_usable_slots(host.section.slots, run.work.priority)
+        and not (is_reading and is_long_prefill(run.waiting.prefill_s))
     ]
     if not ready:
         return None
-    return min(ready, key=lambda run: admission.order_key(run.waiting, shares))
+    return min(ready, key=lambda run: admission.make_queue_key(run.waiting, shares))
 
 
-def hand_back(host: Host, now: float) -> list[Effect]:
+def return_queued_runs(host: AgentState, now: float) -> list[Effect]:
     """Give queued work back: where the target leaves, or a promise can't be kept.
 
     Its entries place it elsewhere or refuse it at once, and it was truly not run.
@@ -66,14 +67,14 @@
             continue
         if not host.is_serving and run.work.repeatable:
             effects += _refuse_queued(host, now, run, "leaving", LEAVING_RETRY_S)
-        elif admission.is_hopeless(run.waiting, now):
-            retry_s = admission.spread_retry(run.work.request, 0.0)
+        elif admission.cannot_meet_deadline(run.waiting, now):
+            retry_s = admission.add_retry_jitter(run.work.request, 0.0)
             effects += _refuse_queued(host, now, run, "late", retry_s)
     return effects
 
 
 def _refuse_queued(
-    host: Host, now: float, run: Run, reason: str, retry_s: float
+    host: AgentState, now: float, run: Run, reason: str, retry_s: float
 ) -> list[Effect]:
     run.status = ENDED
     run.ended_at = now
@@ -93,7 +94,7 @@
     ]
 
 
-def drop_stale(host: Host, now: float) -> list[Effect]:
+def remove_stale_runs(host: AgentState, now: float) -> list[Effect]:
     """Forget what ended long ago, and stop what nobody waits for any more."""
     effects: list[Effect] = []
     for key, run in list(host.runs.items()):
@@ -103,7 +104,7 @@
         elif run.status == RESERVED and now - run.waiting.queued_at > RESERVATION_S:
             run.status = ENDED
             run.ended_at = now
-        elif run.drop_at is not None and now >= run.drop_at and run.status != ENDED:
+        elif run.cancel_at is not None and now >= run.cancel_at and run.status != ENDED:
             if run.status == RUNNING:
                 effects.append(Abort(*key))
             run.status = ENDED
@@ -111,14 +112,14 @@
     return effects
 
 
-def _detach_lost(host: Host, run: Run, now: float) -> None:
+def _detach_lost(host: AgentState, run: Run, now: float) -> None:
     """Stop working for entries that have not been heard for long."""
     lost = [
         (peer, request)
         for peer, request in run.listeners
-        if now - host.heard.get(peer, now) > ENTRY_LOST_S
+        if now - host.last_heard_at.get(peer, now) > ENTRY_LOST_S
     ]
     for peer, request in lost:
         drop_listener(run, peer, request)
     if lost and not run.listeners and not must_run(run):
-        run.drop_at = now
+        run.cancel_at = now
--- a/src/robinspindle/core/streams.py
+++ b/src/robinspindle/core/tokenbuffer.py
@@ -9,12 +9,12 @@
 
     Attributes:
         texts: Tokens delivered, in order without a gap.
-        early: Tokens that arrived before one with a lower number.
+        out_of_order: Tokens that arrived before one with a lower number.
         count: Tokens of the whole answer, once declared.
     """
 
     texts: list[str] = field(default_factory=list)
-    early: dict[int, str] = field(default_factory=dict)
+    out_of_order: dict[int, str] = field(default_factory=dict)
     count: int | None = None
 
     @property
@@ -25,18 +25,18 @@
     @property
     def has_gap(self) -> bool:
         """Whether a token is known to be missing."""
-        return bool(self.early) or (self.count is not None and not self.is_whole)
+        return bool(self.out_of_order) or (self.count is not None and not self.is_whole)
 
 
 def add_tokens(buffer: TokenBuffer, first: int, texts: tuple[str, ...]) -> list[str]:
     """Take tokens in and return those that can now be delivered, in order."""
     delivered = len(buffer.texts)
-    if first == delivered and not buffer.early:
+    if first == delivered and not buffer.out_of_order:
         buffer.texts.extend(texts)
         return list(texts)
     for number, text in enumerate(texts, first):
         if number >= delivered:
-            buffer.early[number] = text
-    while len(buffer.texts) in buffer.early:
-        buffer.texts.append(buffer.early.pop(len(buffer.texts)))
+            buffer.out_of_order[number] = text
+    while len(buffer.texts) in buffer.out_of_order:
+        buffer.texts.append(buffer.out_of_order.pop(len(buffer.texts)))
     return buffer.texts[delivered:]
--- a/src/robinspindle/entry.py
+++ b/src/robinspindle/entry.py
@@ -12,6 +12,11 @@
 
 from robinspindle.controlstream import ControlStream
 from robinspindle.core import burn, catchup, dispatch, leases, limits
+from robinspindle.core.activerequests import (
+    Dispatcher,
+    LatencyObjective,
+    StreamResumption,
+)
 from robinspindle.core.claims import apply_claims
 from robinspindle.core.coordination import CoordinatorState, decide_coordinator_records
 from robinspindle.core.documents import Configuration, WorkspaceSection
@@ -24,8 +29,7 @@
     Refusal,
     Send,
 )
-from robinspindle.core.flights import Comeback, Dispatcher, Promise
-from robinspindle.core.placing import find_addresses
+from robinspindle.core.placement import find_addresses
 from robinspindle.core.records import AnyRecord, encode_record
 from robinspindle.core.state import State, read_configuration
 from robinspindle.keys import FleetKey
@@ -52,8 +56,8 @@
     """A caller's request."""
 
     work: Work
-    promise: Promise
-    comeback: Comeback | None
+    promise: LatencyObjective
+    resumption: StreamResumption | None
 
 
 @dataclass(frozen=True)
@@ -148,14 +152,17 @@
             return limits.admit(self._limits, self.configuration, workspace, now)
 
     def submit(
-        self, work: Work, promise: Promise, comeback: Comeback | None = None
+        self,
+        work: Work,
+        promise: LatencyObjective,
+        resumption: StreamResumption | None = None,
     ) -> queue.SimpleQueue:
         """Hand a request over and return the queue of its events."""
         events: queue.SimpleQueue = queue.SimpleQueue()
         with self._lock:
             self._events[work.request] = events
             self.metrics.in_flight.set(len(self._events))
-        self._mailbox.post(Submitted(work, promise, comeback))
+        self._mailbox.post(Submitted(work, promise, resumption))
         return events
 
     def end(
@@ -259,15 +266,15 @@
         if isinstance(item, Submitted):
             log("A request came.", request=item.work.request, pool=item.work.pool)
             effects = dispatch.submit(
-                self.dispatcher, now, item.work, item.promise, item.comeback
+                self.dispatcher, now, item.work, item.promise, item.resumption
             )
             self._carry_out(effects)
         elif isinstance(item, HungUp):
-            self._carry_out(dispatch.hang_up(self.dispatcher, item.request))
+            self._carry_out(dispatch.handle_disconnect(self.dispatcher, item.request))
         elif isinstance(item, RecordsRead):
             self._take_records(now, item)
         elif isinstance(item, VmsListed):
-            dispatch.note_listed(self.dispatcher, set(item.leaving))
+            dispatch.apply_vm_list(self.dispatcher, set(item.leaving))
         elif isinstance(item, StopAsked) and not self.is_stopping:
             log("The entry was asked to stop.", entry=self.settings.name)
             self.is_stopping = True
--- a/src/robinspindle/exchanges.py
+++ b/src/robinspindle/exchanges.py
@@ -4,9 +4,9 @@
 import time
 from dataclasses import dataclass, field
 
+from robinspindle.core.activerequests import LatencyObjective, StreamResumption
 from robinspindle.core.documents import ClassSection, WorkspaceSection
 from robinspindle.core.effects import Chunk, Ended, Event, Refusal, Started
-from robinspindle.core.flights import Comeback, Promise
 from robinspindle.entry import GONE, Entry
 from robinspindle.messages import Work
 from robinspindle.web import HttpError
@@ -48,7 +48,7 @@
     work: Work,
     workspace: WorkspaceSection,
     work_class: ClassSection,
-    comeback: Comeback | None,
+    resumption: StreamResumption | None,
 ) -> Exchange:
     """Take a request in and hand it to the entry's loop.
 
@@ -60,8 +60,8 @@
         text = f"workspace {workspace.name} is over its limits"
         raise HttpError(Refusal(429, "workspace_limit", text, "no", retry_s))
     exchange = Exchange(entry, work, workspace, work_class, time.monotonic())
-    promise = Promise(work_class.first_token_s, work_class.promised_s)
-    exchange.events = entry.submit(work, promise, comeback)
+    promise = LatencyObjective(work_class.first_token_s, work_class.promised_s)
+    exchange.events = entry.submit(work, promise, resumption)
     return exchange
 
 
--- a/src/robinspindle/gateway.py
+++ b/src/robinspindle/gateway.py
@@ -15,7 +15,7 @@
 from robinspindle.boundedoutput import BoundedOutput
 from robinspindle.cachelists import CacheLists
 from robinspindle.clocks import PauseWatch, make_loop, read_steady
-from robinspindle.core import budgets, targets
+from robinspindle.core import retrywindows, targets
 from robinspindle.core.answerstats import AnswerStats
 from robinspindle.core.authority import Authority
 from robinspindle.core.fingerprints import Fingerprint
@@ -94,7 +94,7 @@
         self._store = adapter.make_store(settings, self._clock)
         self.directory = Directory()
         self.fleet = Fleet(self.directory, adapter.dialect.decode_answer)
-        self.budget = budgets.RepeatBudget()
+        self.budget = retrywindows.WindowedRetryBudget()
         self.peers = Peers(_describe_own(settings), time.time())
         self.book = UsageBook(
             settings.name,
--- a/src/robinspindle/operators.py
+++ b/src/robinspindle/operators.py
@@ -253,7 +253,7 @@
         configuration=state.version,
         rejected=state.rejected,
         coordinator=state.lease.holder,
-        in_flight=len(entry.dispatcher.flights),
+        in_flight=len(entry.dispatcher.active_requests),
         targets=[_view_target(entry, name) for name in sorted(state.targets)],
         plans=[_view_plan(plan) for plan in running],
     )
--- a/src/robinspindle/passages.py
+++ b/src/robinspindle/passages.py
@@ -6,7 +6,6 @@
 
 from robinspindle.core import forwarding
 from robinspindle.core.answerstats import AnswerStats
-from robinspindle.core.budgets import RepeatBudget
 from robinspindle.core.events import EventSplitter
 from robinspindle.core.fingerprints import FingerprintedRequest
 from robinspindle.core.forwarding import AnswerHead, CacheSource, Request, Send
@@ -14,6 +13,7 @@
 from robinspindle.core.permits import OPEN, Permit
 from robinspindle.core.policy import Policy
 from robinspindle.core.prefillplacement import RequestPlan
+from robinspindle.core.retrywindows import WindowedRetryBudget
 from robinspindle.core.routes import STREAM, Route
 from robinspindle.fleet import Fleet
 from robinspindle.gatewaymetrics import GatewayMetrics
@@ -147,7 +147,7 @@
     fleet: Fleet
     peers: Peers
     guard: Guard
-    budget: RepeatBudget
+    budget: WindowedRetryBudget
     lengths: AnswerStats
     freshness: Freshness
     book: UsageBook
--- a/src/robinspindle/relay.py
+++ b/src/robinspindle/relay.py
@@ -5,7 +5,7 @@
 
 from robinspindle import guard
 from robinspindle.choosing import Chooser
-from robinspindle.core import budgets, forwarding, health, permits, silence
+from robinspindle.core import forwarding, health, permits, retrywindows, silence
 from robinspindle.core.engines import Engine, note_placed
 from robinspindle.core.fingerprints import FingerprintedRequest
 from robinspindle.core.forwarding import AnswerHead, Request
@@ -111,7 +111,9 @@
             reply.refuse(refusal)
             self._log.log_turned_away(passage, refusal)
             return
-        budgets.count_request(self._means.budget, self._means.clock(), passage.service)
+        retrywindows.count_request(
+            self._means.budget, self._means.clock(), passage.service
+        )
         self.chooser.note_arrival(passage, self._means.clock())
         is_served = False
         try:
@@ -208,7 +210,7 @@
             return len(passage.tried) < forwarding.MAX_SENDS
         if not forwarding.may_send_again(route, passage.offers, passage.runs):
             return False
-        if budgets.take_repeat(
+        if retrywindows.take_retry(
             self._means.budget, self._means.clock(), passage.service
         ):
             self._means.metrics.repeats.inc()
--- a/tests/core/test_host.py
+++ b/tests/core/test_agentcontrol.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from robinspindle.core import host
+from robinspindle.core import agentcontrol
 from robinspindle.core.effects import Launch, Send
 from robinspindle.core.records import AgentStarted, ObservedEngine, Published
-from robinspindle.core.runs import Host
+from robinspindle.core.runs import AgentState
 from robinspindle.core.state import State
 from robinspindle.core.statemachine import apply
 from robinspindle.messages import (
@@ -33,9 +33,9 @@
     state = apply(State(), 0, Published(id="p", text=text))
     started = AgentStarted(id="s", target="engine-1", incarnation="i1", found=found)
     state = apply(state, 1, started)
-    agent = Host("engine-1", "i1")
-    host.note_engine(agent, 0.0, found, False, "boot")
-    host.fold_state(agent, 0.0, state)
+    agent = AgentState("engine-1", "i1")
+    agentcontrol.update_engine_state(agent, 0.0, found, False, "boot")
+    agentcontrol.fold_state(agent, 0.0, state)
     return agent
 
 
@@ -58,52 +58,52 @@
 
 
 def test_an_offer_is_accepted_and_launched(agent):
-    effects = host.receive(agent, 1.0, "e", offer())
+    effects = agentcontrol.receive(agent, 1.0, "e", offer())
     assert isinstance(answers(effects)[0], Accepted)
     assert any(isinstance(effect, Launch) for effect in effects)
 
 
 def test_a_reservation_launches_nothing_before_its_start(agent):
-    effects = host.receive(agent, 1.0, "e", offer(repeatable=False))
+    effects = agentcontrol.receive(agent, 1.0, "e", offer(repeatable=False))
     assert answers(effects)[0].reserved
     assert not any(isinstance(effect, Launch) for effect in effects)
     start = Start(request="r1", attempt=1, claim=7)
-    effects = host.receive(agent, 1.1, "e", start)
+    effects = agentcontrol.receive(agent, 1.1, "e", start)
     assert any(isinstance(effect, Launch) for effect in effects)
-    assert isinstance(answers(host.receive(agent, 1.2, "e", start))[0], Refused)
+    assert isinstance(answers(agentcontrol.receive(agent, 1.2, "e", start))[0], Refused)
 
 
 def test_an_attach_bars_a_reservation_before_it_says_not_run(agent):
-    host.receive(agent, 1.0, "e", offer(repeatable=False))
+    agentcontrol.receive(agent, 1.0, "e", offer(repeatable=False))
     attach = Attach(request="r2", run="r1", attempt=1, incarnation="i1")
-    denied = answers(host.receive(agent, 1.1, "other", attach))[0]
+    denied = answers(agentcontrol.receive(agent, 1.1, "other", attach))[0]
     assert denied == Attached(request="r2", attempt=1, status="not run")
     start = Start(request="r1", attempt=1, claim=7)
-    assert isinstance(answers(host.receive(agent, 1.2, "e", start))[0], Refused)
+    assert isinstance(answers(agentcontrol.receive(agent, 1.2, "e", start))[0], Refused)
 
 
 def test_another_incarnation_cannot_say_not_run(agent):
     attach = Attach(request="r2", run="r1", attempt=1, incarnation="i0")
-    assert answers(host.receive(agent, 1.0, "e", attach))[0].status == "unknown"
+    assert answers(agentcontrol.receive(agent, 1.0, "e", attach))[0].status == "unknown"
 
 
 def test_a_stream_is_joined_by_its_own_workspace_only(agent):
-    host.receive(agent, 1.0, "e", offer(workspace="mine"))
-    host.add_tokens(agent, 1.1, ("r1", 1), ("secret ",))
+    agentcontrol.receive(agent, 1.0, "e", offer(workspace="mine"))
+    agentcontrol.add_tokens(agent, 1.1, ("r1", 1), ("secret ",))
     mine = Attach(request="r2", run="r1", workspace="mine")
     theirs = Attach(request="r3", run="r1", workspace="theirs")
-    joined = answers(host.receive(agent, 1.2, "other", mine))
+    joined = answers(agentcontrol.receive(agent, 1.2, "other", mine))
     assert joined[0].status == "joined"
     assert joined[1] == Tokens(request="r2", attempt=1, first=0, texts=("secret ",))
-    denied = answers(host.receive(agent, 1.2, "other", theirs))
+    denied = answers(agentcontrol.receive(agent, 1.2, "other", theirs))
     assert [message.status for message in denied] == ["unknown"]
 
 
 def test_long_prompts_take_turns_and_short_ones_pass(agent):
     long = {"prompt_tokens": 9000}
-    first = host.receive(agent, 1.0, "e", offer("long1", **long))
-    second = host.receive(agent, 1.0, "e", offer("long2", **long))
-    short = host.receive(agent, 1.0, "e", offer("short"))
+    first = agentcontrol.receive(agent, 1.0, "e", offer("long1", **long))
+    second = agentcontrol.receive(agent, 1.0, "e", offer("long2", **long))
+    short = agentcontrol.receive(agent, 1.0, "e", offer("short"))
     launched = [
         [e.request for e in effects if isinstance(e, Launch)]
         for effects in (first, second, short)
@@ -113,15 +113,17 @@
 
 def test_a_planned_stop_hands_the_queue_back_as_not_run(agent):
     for number in range(9):
-        host.receive(agent, 1.0, "e", offer(f"r{number}"))
-    refused = [m for m in answers(host.stop(agent, 1.1)) if isinstance(m, Refused)]
+        agentcontrol.receive(agent, 1.0, "e", offer(f"r{number}"))
+    refused = [
+        m for m in answers(agentcontrol.stop(agent, 1.1)) if isinstance(m, Refused)
+    ]
     assert {message.reason for message in refused} == {"leaving"}
     assert not agent.is_idle
 
 
 def test_prefixes_are_told_only_to_who_lacks_them(agent):
-    host.note_prefixes(agent, ("p1",))
-    old = answers(host.receive(agent, 1.0, "e", Hello(prefix_version=0)))[0]
-    new = answers(host.receive(agent, 1.1, "e", Hello(prefix_version=1)))[0]
+    agentcontrol.update_prefixes(agent, ("p1",))
+    old = answers(agentcontrol.receive(agent, 1.0, "e", Hello(prefix_version=0)))[0]
+    new = answers(agentcontrol.receive(agent, 1.1, "e", Hello(prefix_version=1)))[0]
     assert (old.prefixes, old.prefix_version) == (("p1",), 1)
     assert new.prefixes is None
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -14,9 +14,9 @@
 
 import pytest
 
-from robinspindle.core import dispatch, watching
+from robinspindle.core import dispatch, failover
+from robinspindle.core.activerequests import Dispatcher, LatencyObjective
 from robinspindle.core.effects import Chunk, Deliver, Ended, Refusal, Send
-from robinspindle.core.flights import Dispatcher, Promise
 from robinspindle.core.records import AgentStarted, ObservedEngine, Published
 from robinspindle.core.state import State
 from robinspindle.core.statemachine import apply
@@ -52,7 +52,7 @@
 
 def submit(entry, now, request="r"):
     work = Work(request=request, kind="generate", pool="investor-70b", max_tokens=9)
-    return dispatch.submit(entry, now, work, Promise(5.0, 20.0))
+    return dispatch.submit(entry, now, work, LatencyObjective(5.0, 20.0))
 
 
 def begin(entry):
@@ -82,8 +82,8 @@
     let_pass(entry, 0.0, 1.0)
     after = 1.0 + HELD_UP_S
     effects = dispatch.tick(entry, after)
-    assert entry.flights["r"].target == target
-    assert entry.flights["r"].tries == 1
+    assert entry.active_requests["r"].target == target
+    assert entry.active_requests["r"].attempts == 1
     assert not any(isinstance(effect, Deliver) for effect in effects)
     rest = Tokens(request="r", attempt=1, first=1, texts=("b ",))
     told = dispatch.receive(entry, after + 0.01, target, rest)
@@ -104,7 +104,7 @@
     submit(entry, 0.0)
     let_pass(entry, 0.0, 0.5)
     dispatch.tick(entry, 0.5 + HELD_UP_S)
-    assert entry.flights["r"].tries == 1
+    assert entry.active_requests["r"].attempts == 1
 
 
 def test_a_target_that_died_meanwhile_is_found_as_soon_as_ever(entry):
@@ -112,19 +112,19 @@
     let_pass(entry, 0.0, 0.5)
     after = 0.5 + HELD_UP_S
     dispatch.tick(entry, after)
-    left_s = watching.LOST_S - 0.5
+    left_s = failover.LOST_S - 0.5
     let_pass(entry, after, after + left_s - STEP_S)
-    assert entry.flights["r"].target == target
+    assert entry.active_requests["r"].target == target
     for name in ("engine-1", "engine-2"):
         if name != target:
             report = Report(target=name, incarnation="i")
             dispatch.receive(entry, after + left_s, name, report)
     let_pass(entry, after + left_s, after + left_s + 3 * STEP_S)
-    assert entry.flights["r"].target != target
+    assert entry.active_requests["r"].target != target
 
 
 def test_hold_ups_do_not_put_a_deadline_off(entry):
     begin(entry)
     let_pass(entry, 0.0, 0.5)
-    effects = dispatch.tick(entry, 0.5 + watching.HARD_LIMIT_S)
+    effects = dispatch.tick(entry, 0.5 + failover.HARD_LIMIT_S)
     assert any(isinstance(e, Deliver) and isinstance(e.event, Refusal) for e in effects)
--- a/tests/core/test_placing.py
+++ b/tests/core/test_placement.py
@@ -1,8 +1,8 @@
 import random
 from pathlib import Path
 
-from robinspindle.core.flights import Dispatcher, Flight
-from robinspindle.core.placing import find_addresses, list_peers
+from robinspindle.core.activerequests import ActiveRequest, Dispatcher
+from robinspindle.core.placement import find_addresses, list_peers
 from robinspindle.core.records import Published
 from robinspindle.core.state import State
 from robinspindle.core.statemachine import apply
@@ -19,7 +19,9 @@
 
 def make_flight(target):
     work = Work(request="r", kind="generate", pool="p")
-    return Flight(work, due=1.0, first_due=1.0, begun=0.0, target=target)
+    return ActiveRequest(
+        work, deadline=1.0, first_token_deadline=1.0, arrived_at=0.0, target=target
+    )
 
 
 def test_a_target_where_a_request_is_under_way_keeps_its_connection():
@@ -29,7 +31,7 @@
     assert set(find_addresses(entry)) == set(list_peers(entry))
     left_out = sorted(set(entry.state.targets) - set(list_peers(entry)))
     assert left_out
-    entry.flights["r"] = make_flight(left_out[0])
+    entry.active_requests["r"] = make_flight(left_out[0])
     assert set(find_addresses(entry)) == {*list_peers(entry), left_out[0]}
-    entry.flights["r"] = make_flight("")
+    entry.active_requests["r"] = make_flight("")
     assert set(find_addresses(entry)) == set(list_peers(entry))
--- a/tests/core/test_budgets.py
+++ b/tests/core/test_retrywindows.py
@@ -1,7 +1,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from robinspindle.core.budgets import RepeatBudget, count_request, take_repeat
+from robinspindle.core.retrywindows import (
+    WindowedRetryBudget,
+    count_request,
+    take_retry,
+)
 
 
 @given(
@@ -14,14 +18,16 @@
 def test_all_gateways_together_stay_inside_the_budget(events, gateways):
     """Each window of the promise, whatever the order and the gateway."""
     ratio, slack, window = 0.2, 6.0, 10.0
-    budgets = [RepeatBudget(ratio, slack / gateways, window) for _ in range(gateways)]
+    budgets = [
+        WindowedRetryBudget(ratio, slack / gateways, window) for _ in range(gateways)
+    ]
     requests, repeats = [], []
     for number, (now, kind) in enumerate(sorted(events)):
         budget = budgets[number % gateways]
         if kind == "request":
             count_request(budget, now, "s")
             requests.append(now)
-        elif take_repeat(budget, now, "s"):
+        elif take_retry(budget, now, "s"):
             repeats.append(now)
     for end in repeats:
         taken = sum(end - window < at <= end for at in repeats)
@@ -30,14 +36,14 @@
 
 
 def test_services_have_budgets_of_their_own():
-    budget = RepeatBudget(0.2, 1.0, 10.0)
-    assert take_repeat(budget, 0.0, "a")
-    assert not take_repeat(budget, 0.0, "a")
-    assert take_repeat(budget, 0.0, "b")
+    budget = WindowedRetryBudget(0.2, 1.0, 10.0)
+    assert take_retry(budget, 0.0, "a")
+    assert not take_retry(budget, 0.0, "a")
+    assert take_retry(budget, 0.0, "b")
 
 
 def test_the_window_slides():
-    budget = RepeatBudget(0.2, 1.0, 10.0)
-    assert take_repeat(budget, 0.0, "a")
-    assert not take_repeat(budget, 9.9, "a")
-    assert take_repeat(budget, 10.0, "a")
+    budget = WindowedRetryBudget(0.2, 1.0, 10.0)
+    assert take_retry(budget, 0.0, "a")
+    assert not take_retry(budget, 9.9, "a")
+    assert take_retry(budget, 10.0, "a")
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -4,10 +4,10 @@
 
 from benches.queueing import run_model
 from robinspindle.core.routing import (
-    View,
-    count_choices,
+    Candidate,
+    count_compared_targets,
     estimate_answer,
-    make_choose_by_estimate,
+    make_estimate_policy,
 )
 from robinspindle.messages import Report, Work
 
@@ -15,7 +15,7 @@
 def make_view(name, running=0, own=0, in_flight=0, **fields):
     values = {"prefill_s": 0.0001, "step_s": 0.02, "slots": 4} | fields
     report = Report(target=name, incarnation="i", running=running, own=own, **values)
-    return View(name, report, in_flight=in_flight)
+    return Candidate(name, report, in_flight=in_flight)
 
 
 WORK = Work(request="r", kind="generate", pool="m", prompt_tokens=100, max_tokens=50)
@@ -44,10 +44,9 @@
         max_tokens=10,
     )
     views = [make_view(name) for name in "abcdef"]
-    views[3] = View("d", make_view("d", running=1).report, prefixes=("p",))
+    views[3] = Candidate("d", make_view("d", running=1).report, prefixes=("p",))
     chosen = {
-        make_choose_by_estimate(2)(views, work, random.Random(n)).target
-        for n in range(9)
+        make_estimate_policy(2)(views, work, random.Random(n)).target for n in range(9)
     }
     assert chosen == {"d"}
 
@@ -62,16 +61,16 @@
 def test_own_long_prompts_count_once_shown_or_not():
     long = Work(request="r", kind="generate", pool="m", prompt_tokens=9000)
     shown = make_view("a", prefill_wait_s=2.0, own_prefill_s=2.0)
-    shown.unread_s = 2.0
+    shown.pending_prefill_s = 2.0
     fresh = make_view("b")
-    fresh.unread_s = 2.0
+    fresh.pending_prefill_s = 2.0
     assert estimate_answer(shown, long) == estimate_answer(fresh, long)
 
 
 def test_few_entries_compare_all_targets_and_many_compare_two():
-    assert count_choices(6, 2) == 6
-    assert count_choices(6, 8) == 2
-    assert count_choices(680, 420) == 3
+    assert count_compared_targets(6, 2) == 6
+    assert count_compared_targets(6, 8) == 2
+    assert count_compared_targets(680, 420) == 3
 
 
 def test_two_choices_beat_chance_and_the_best_of_all_under_late_reports():
--- a/tests/core/test_small.py
+++ b/tests/core/test_small.py
@@ -19,7 +19,7 @@
 )
 from robinspindle.core.records import Renewal, Standing, Takeover
 from robinspindle.core.state import Envelope, Lease, State, Target
-from robinspindle.core.streams import TokenBuffer, add_tokens
+from robinspindle.core.tokenbuffer import TokenBuffer, add_tokens
 from robinspindle.messages import Fetch, Report
 
 CLAIM = {"key": "k", "digest": "d", "target": "t", "incarnation": "i"}
@@ -39,13 +39,13 @@
     first = Claim(request="a", attempt=1, **CLAIM)
     second = Claim(request="b", attempt=1, **CLAIM)
     apply_claims(table, 0, encode_claims([first, second]))
-    assert table.held["k"].claim == first
+    assert table.claimed["k"].claim == first
     apply_claims(table, 1, encode_claims([Release(key="k", request="b", attempt=1)]))
-    assert "k" in table.held
+    assert "k" in table.claimed
     outcome = Outcome(key="k", request="a", attempt=1, status=200)
     apply_claims(table, 2, encode_claims([outcome]))
     apply_claims(table, 3, encode_claims([Release(key="k", request="a", attempt=1)]))
-    assert table.held["k"].outcome == outcome
+    assert table.claimed["k"].outcome == outcome
     assert apply_claims(table, 3, encode_claims([second])) == ()
 
 
@@ -63,12 +63,12 @@
 
 def test_retries_are_a_share_of_first_tries_and_never_against_the_deadline():
     budget = retries.RetryBudget(share=0.5, left=0.0)
-    retries.earn(budget)
-    assert not retries.spend(budget, 1, 10.0, 0.1)
-    retries.earn(budget)
-    assert not retries.spend(budget, 1, 0.05, 0.1)
-    assert retries.spend(budget, 1, 10.0, 0.1)
-    assert not retries.spend(budget, 1, 10.0, 0.1)
+    retries.add_first_attempt(budget)
+    assert not retries.take_retry(budget, 1, 10.0, 0.1)
+    retries.add_first_attempt(budget)
+    assert not retries.take_retry(budget, 1, 0.05, 0.1)
+    assert retries.take_retry(budget, 1, 10.0, 0.1)
+    assert not retries.take_retry(budget, 1, 10.0, 0.1)
 
 
 def test_a_holder_renews_and_a_challenger_waits_a_lease_time():
