--- a/src/robinspindle/core/catchup.py
+++ b/src/robinspindle/core/catchup.py
@@ -50,7 +50,9 @@
     return Records(first=fetch.after + 1, records=records)
 
 
-def decide_fetch(window: RecordWindow, now: float, own: int, peer: int) -> Fetch | None:
+def decide_fetch(
+    window: RecordWindow, now: float, own_offset: int, peer_offset: int
+) -> Fetch | None:
     """Decide whether to request records from a peer that reports a higher offset.
 
     The log itself usually delivers records within a round trip, so a peer is asked only
@@ -59,10 +61,10 @@
     Args:
         window: The window of this process; updated.
         now: The current time, monotonic seconds.
-        own: Offset of the last record that this process has applied.
-        peer: Offset that the peer reports.
+        own_offset: Offset of the last record that this process has applied.
+        peer_offset: Offset that the peer reports.
     """
-    if peer <= own:
+    if peer_offset <= own_offset:
         window.behind_since = None
         return None
     if window.behind_since is None:
@@ -71,4 +73,4 @@
     if waited < FETCH_DELAY_S:
         return None
     window.asked_at = now
-    return Fetch(after=own)
+    return Fetch(after=own_offset)
--- a/src/robinspindle/core/documents.py
+++ b/src/robinspindle/core/documents.py
@@ -23,8 +23,8 @@
     BeforeValidator(lambda value: value.split() if isinstance(value, str) else value),
 ]
 Role = Literal["mixed", "prefill", "decode"]
-NAME = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$"
-Name = Annotated[str, Field(pattern=NAME)]
+NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$"
+Name = Annotated[str, Field(pattern=NAME_PATTERN)]
 HostPort = Annotated[str, Field(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
 
 
--- a/src/robinspindle/core/rebalancing.py
+++ b/src/robinspindle/core/rebalancing.py
@@ -31,7 +31,7 @@
 capacity with one engine fewer. The share is lower in a large fleet, where prefill
 engines were added in preparation for a burst."""
 
-MAX_REMAINING_SLOT_SHARE = 0.5
+MAX_SLOT_SHARE_AFTER_CHANGE = 0.5
 """Maximum share of slots that long answers may fill on the decode engines that
 remain after a change to prefill: bursts of answers reach about twice the average."""
 
@@ -291,7 +291,7 @@
         prefill_engines, decode_engines, thresholds.min_decode_share
     )
     needed = math.ceil(
-        _count_engines_for_answers(decode_engines, MAX_REMAINING_SLOT_SHARE)
+        _count_engines_for_answers(decode_engines, MAX_SLOT_SHARE_AFTER_CHANGE)
     )
     return max(0, min(wanted, spare, len(decode_engines) - needed))
 
--- a/src/robinspindle/core/statemachine.py
+++ b/src/robinspindle/core/statemachine.py
@@ -268,14 +268,14 @@
     envelope = state.envelopes.get(target.pool) if target else None
     if envelope is None:
         return state
-    acts = tuple(at for at in envelope.acts if at > record.at - HOUR_S)
-    if not plans.allows_role_change(state, envelope, acts, target, record):
+    change_times = tuple(at for at in envelope.acts if at > record.at - HOUR_S)
+    if not plans.allows_role_change(state, envelope, change_times, target, record):
         return state
     step = Step(target=target.name, action="role", role=record.role)
     state = state.with_target(
         replace(target, order=Order(offset, "", step), touched=offset)
     )
-    envelope = replace(envelope, acts=(*acts, record.at))
+    envelope = replace(envelope, acts=(*change_times, record.at))
     return replace(state, envelopes={**state.envelopes, target.pool: envelope})
 
 
--- a/tests/core/test_rebalancing.py
+++ b/tests/core/test_rebalancing.py
@@ -13,7 +13,7 @@
 )
 from robinspindle.core.targets import Announcement, Target
 
-SWITCH_S = 3.0
+ROLE_CHANGE_S = 3.0
 
 
 def make_fleet(prefill_engines=2, decode_engines=4, long_answers=0):
@@ -29,7 +29,7 @@
 
 def decide(fleet, prefill_load, history=None, now=100.0):
     return decide_role_change(
-        fleet, prefill_load, history or RoleChangeHistory(), now, SWITCH_S
+        fleet, prefill_load, history or RoleChangeHistory(), now, ROLE_CHANGE_S
     )
 
 
@@ -85,7 +85,7 @@
     """The change doesn't wait for the minimum time before a reverse change."""
     history = RoleChangeHistory(changed_at=93.0, last_role=PREFILL_ROLE)
     fleet = make_fleet(17, 6, long_answers=40)
-    change = decide_role_change(fleet, 3.0, history, 100.0, SWITCH_S)
+    change = decide_role_change(fleet, 3.0, history, 100.0, ROLE_CHANGE_S)
     assert (change.role, len(change.targets)) == (DECODE_ROLE, 2)
     assert change.replaces_lost
 
@@ -96,7 +96,7 @@
 def test_bursts_of_prompts_and_of_answers_share_the_engines(rate, turned):
     fleet = make_fleet(17, 6, long_answers=40)
     change = decide_role_change(
-        fleet, rate, RoleChangeHistory(90.0, PREFILL_ROLE), 100.0, SWITCH_S
+        fleet, rate, RoleChangeHistory(90.0, PREFILL_ROLE), 100.0, ROLE_CHANGE_S
     )
     assert (len(change.targets) if change else 0) == turned
 
@@ -139,7 +139,7 @@
     """
     fleet = make_fleet(2, 5, long_answers=15)
     late = decide_role_change(
-        fleet, 1.5, RoleChangeHistory(), 100.0, SWITCH_S, pressure=1.2
+        fleet, 1.5, RoleChangeHistory(), 100.0, ROLE_CHANGE_S, pressure=1.2
     )
     assert late is None
     assert decide(fleet, 1.5).role == PREFILL_ROLE
@@ -149,7 +149,7 @@
     """The change is made at any prefill load and soon after the reverse change."""
     fleet = make_fleet(4, 2, long_answers=15)
     history = RoleChangeHistory(changed_at=90.0, last_role=PREFILL_ROLE)
-    change = decide_role_change(fleet, 9.0, history, 100.0, SWITCH_S, pressure=1.2)
+    change = decide_role_change(fleet, 9.0, history, 100.0, ROLE_CHANGE_S, pressure=1.2)
     assert (change.role, len(change.targets)) == (DECODE_ROLE, 1)
 
 
@@ -172,6 +172,8 @@
     """Prefill on decode engines slows answers too: then prefill engines are too few."""
     fleet = make_fleet(4, 2, long_answers=long_answers)
     assert (
-        decide_role_change(fleet, 9.0, RoleChangeHistory(), 100.0, SWITCH_S, pressure)
+        decide_role_change(
+            fleet, 9.0, RoleChangeHistory(), 100.0, ROLE_CHANGE_S, pressure
+        )
         is None
     )
--- a/tests/core/test_rebalancing_simulation.py
+++ b/tests/core/test_rebalancing_simulation.py
@@ -22,7 +22,7 @@
 
 STEP_S = 0.05
 CHECK_INTERVAL_S = 0.25
-SWITCH_S = 3.0
+ROLE_CHANGE_S = 3.0
 LATENCY_OBJECTIVE_S = 0.25
 SLOTS = 32
 ANSWER_S = 6.0
@@ -154,7 +154,7 @@
 def change_roles(fleet, demand, history, now):
     present = fleet.list_present(True) + fleet.list_present(False)
     rate = rebalancing.compute_prefill_load(demand, now)
-    change = decide_role_change(present, rate, history, now, SWITCH_S)
+    change = decide_role_change(present, rate, history, now, ROLE_CHANGE_S)
     if change is None:
         return
     history.changed_at = now
@@ -162,7 +162,7 @@
     engines = {target.announced.lifetime: engine for target, engine in fleet.pairs}
     for target in change.targets:
         lifetime = target.announced.lifetime
-        fleet.away[lifetime] = now + SWITCH_S
+        fleet.away[lifetime] = now + ROLE_CHANGE_S
         engines[lifetime].prefill_only = change.role == rebalancing.PREFILL_ROLE
         engines[lifetime].own_long_answers = 0
 
@@ -211,5 +211,5 @@
 @pytest.mark.parametrize("engines", [6, 9])
 def test_small_fleet_keeps_half_of_its_engines_for_decode(engines):
     pairs = [make_pair(number, number < 2) for number in range(engines)]
-    change = decide_role_change(pairs, 99.0, RoleChangeHistory(), 100.0, SWITCH_S)
+    change = decide_role_change(pairs, 99.0, RoleChangeHistory(), 100.0, ROLE_CHANGE_S)
     assert engines - 2 - len(change.targets) >= engines / 2
