--- a/src/robinspindle/core/authority.py
+++ b/src/robinspindle/core/authority.py
@@ -2,9 +2,9 @@
 
 A lease claim is one record in the platform's log. It is appended only if the log still
 ends where its author last read it, and its offset is the fencing token. The author uses
-the claim for less than a lease, counted from before it sent the claim. The other
-gateways wait for well over a lease after they read it before they claim. So orders of
-two gateways are more than a lease apart, whatever their clocks show.
+the claim for less than a lease, counted from before it sent the claim. Any other
+gateway that has read the claim waits for well over a lease before it makes its own. So
+orders of two gateways are more than a lease apart, whatever their clocks show.
 """
 
 from dataclasses import dataclass
@@ -13,7 +13,8 @@
 """Time for which a claim may be used, in leases."""
 
 CLAIM_WAIT_LEASES = 1.6
-"""Time that must pass after another gateway's claim was read, in leases."""
+"""Time that must pass after another gateway's claim was read before this gateway
+claims, in leases."""
 
 
 @dataclass
--- a/src/robinspindle/core/burn.py
+++ b/src/robinspindle/core/burn.py
@@ -17,10 +17,10 @@
 
 @dataclass
 class Bucket:
-    """Counts of requests that ended in one time bucket.
+    """Counts of requests that ended within one interval of `BUCKET_S` seconds.
 
     Attributes:
-        start: Start of the bucket, monotonic seconds.
+        start: Start of the interval, monotonic seconds.
         good: Number of good requests.
         bad: Number of bad requests by cause, a target or a decision.
     """
@@ -108,7 +108,8 @@
     Args:
         burn_counts: The entry's counts.
         now: The current time, monotonic seconds.
-        objectives: Share of requests that must be good, by class of work.
+        objectives: Share of requests that must be good, by class of work; 0.99 for a
+            class that is not listed.
     """
     rows = []
     for objective_key, buckets in burn_counts.buckets.items():
--- a/src/robinspindle/core/catchup.py
+++ b/src/robinspindle/core/catchup.py
@@ -42,7 +42,11 @@
 
 
 def make_records(window: RecordWindow, fetch: Fetch) -> Records | None:
-    """Make the answer to a peer, or None if the window doesn't have the records."""
+    """Make the message with the records that a peer requested.
+
+    Returns:
+        The message, or None if the window doesn't have the first of these records.
+    """
     start = fetch.after + 1 - window.first
     if start < 0 or start >= len(window.records):
         return None
@@ -62,7 +66,10 @@
         window: The window of this process; updated.
         now: The current time, monotonic seconds.
         own_offset: Offset of the last record that this process has applied.
-        peer_offset: Offset that the peer reports.
+        peer_offset: Offset of the last record that the peer reports to have applied.
+
+    Returns:
+        The request, or None.
     """
     if peer_offset <= own_offset:
         window.behind_since = None
--- a/src/robinspindle/core/coordination.py
+++ b/src/robinspindle/core/coordination.py
@@ -27,7 +27,8 @@
 
     Attributes:
         name: The process's name.
-        pending: Role changes that must remain the best ones for a while.
+        pending: Role changes that are not made before they have been the best ones for
+            a while.
         covered: Offset of the last record that this process's last checkpoint covers,
             -1 for none.
         checkpointed_at: When that checkpoint was made, monotonic seconds.
@@ -49,7 +50,7 @@
     wall_s: float,
     id: str,
 ) -> list[AnyRecord]:
-    """Decide which records the coordinator appends now.
+    """Decide which records the process appends as the coordinator now.
 
     Args:
         coordinator: The coordinator's local state; updated.
@@ -90,6 +91,7 @@
 
 
 def _is_checkpoint_due(coordinator: CoordinatorState, state: State, now: float) -> bool:
+    # The record of the last checkpoint itself counts as one new record.
     new_records = state.offset - max(coordinator.covered, state.checkpoint)
     if new_records >= CHECKPOINT_RECORDS:
         return True
--- a/src/robinspindle/core/documents.py
+++ b/src/robinspindle/core/documents.py
@@ -1,7 +1,7 @@
 """The configuration document, which operators publish on the log.
 
 A document is INI text. Parsing is pure, so all processes that read the same record
-either accept the document or reject it.
+make the same decision to accept or to reject the document.
 """
 
 from dataclasses import field
@@ -50,7 +50,8 @@
 
     Attributes:
         name: The model's name in callers' requests.
-        least_serving: Minimum number of targets that serve the model during any plan.
+        least_serving: Minimum number of targets that keep serving the model while a
+            plan is executed.
     """
 
     name: Name
@@ -63,7 +64,8 @@
 
     Attributes:
         name: The service's name in ``/services/<name>/``.
-        least_serving: Minimum number of targets that serve the service during any plan.
+        least_serving: Minimum number of targets that keep serving the service while a
+            plan is executed.
         repeatable: HTTP methods whose requests may be retried.
     """
 
@@ -112,8 +114,8 @@
 
     Attributes:
         name: The class's name.
-        priority: The priority; a lower number is served first, and alerts and pings
-            have 0.
+        priority: The priority, 0 to 9; requests with a lower number are served first.
+            Alerts and pings have 0.
         first_token_s: Latency objective for the first token, seconds.
         promised_s: Latency objective for the whole answer, seconds.
         objective: Share of requests that must meet both latency objectives.
--- a/src/robinspindle/core/leases.py
+++ b/src/robinspindle/core/leases.py
@@ -1,8 +1,8 @@
 """The coordinator lease: when to renew it and when to request it.
 
 Who holds the lease doesn't depend on clocks: the replicated state machine accepts a
-takeover only if it names the last renewal. The clock only decides when a process
-appends a record.
+takeover only if it names the offset of the last renewal or takeover. The clock only
+decides when a process tries to renew or to take over the lease.
 """
 
 import random
--- a/src/robinspindle/core/orders.py
+++ b/src/robinspindle/core/orders.py
@@ -95,6 +95,10 @@
         number: The order's number.
         now: The current time, monotonic seconds.
         reason: Why the order had no effect, empty if it took effect.
+
+    Returns:
+        The record to append, or nothing if a record was appended less than `RESEND_S`
+        ago.
     """
     executor.active_order = -1
     executor.ended = OrderEnded(
@@ -127,9 +131,9 @@
 
 
 def _has_changed_by_restart(executor: Executor, target: Target) -> bool:
-    """Whether the engine restarted with another state than the log has.
+    """Whether the engine restarted in a state that differs from the replicated state.
 
-    A restart with the same state needs no record and only updates `announced`.
+    A restart in the same state needs no record and only updates `announced`.
     """
     if executor.boot == executor.announced or target.order is not None:
         return False
@@ -154,6 +158,7 @@
 
 
 def _was_superseded(executor: Executor, target: Target) -> bool:
+    """Whether the target no longer has the order whose outcome was appended."""
     ended = executor.ended
     if ended is None:
         return False
--- a/src/robinspindle/core/plans.py
+++ b/src/robinspindle/core/plans.py
@@ -1,4 +1,4 @@
-"""Plans: made from an intent, validated at the confirmation and before each step."""
+"""Plans: made from an intent, validated when confirmed and before each step."""
 
 from robinspindle.core.records import (
     AnyIntent,
@@ -176,6 +176,13 @@
 
 
 def _is_planned(state: State, target: str, except_plan: str) -> bool:
+    """Whether a remaining step of a running plan changes a target.
+
+    Args:
+        state: The replicated state.
+        target: The target's name.
+        except_plan: Id of a plan to leave out, empty for none.
+    """
     return any(
         step.target == target
         for plan in _list_running_plans(state)
--- a/src/robinspindle/core/rebalancing.py
+++ b/src/robinspindle/core/rebalancing.py
@@ -1,9 +1,9 @@
 """Decides when engines of a service change their role, and which ones.
 
-A role change takes an engine out of service for seconds, so it follows only a lasting
-imbalance: more prefill than the prefill engines can keep up with while the decode
-engines have free slots, or the reverse. Shifts of a few seconds are handled by the
-choice of the engine that runs prefill instead.
+A role change takes an engine out of service for seconds and has a cost of its own, so
+it follows only a lasting imbalance: more prefill than the prefill engines can keep up
+with while the decode engines have free slots, or the reverse. Shifts of a few seconds
+are handled by the choice of the engine that runs prefill instead.
 """
 
 import math
@@ -22,14 +22,14 @@
 
 PREFILL_OVERLOAD_SHARE = 0.4
 """Prefill engines are too few when the prefill load exceeds this share of their
-capacity, because the average hides swings to twice the load and more. A lower share
-takes engines away from answers, which come in bursts of their own."""
+capacity, because the average hides swings to twice the load and more. A lower threshold
+would take engines away from answers, which come in bursts of their own."""
 
 PREFILL_IDLE_SHARE = 0.25
 LARGE_FLEET_PREFILL_IDLE_SHARE = 0.15
-"""Prefill engines are too many when the load would be below this share of their
-capacity with one engine fewer. The share is lower in a large fleet, where prefill
-engines were added in preparation for a burst."""
+"""Prefill engines are too many when the prefill load is below this share of the
+capacity that remains with one engine fewer. The share is lower in a large fleet, where
+prefill engines were added in preparation for a burst."""
 
 MAX_SLOT_SHARE_AFTER_CHANGE = 0.5
 """Maximum share of slots that long answers may fill on the decode engines that
@@ -102,7 +102,8 @@
 
     Attributes:
         changed_at: When the change began, monotonic seconds.
-        last_role: The new role, empty before the first change.
+        last_role: The new role, empty before the first change and after a change that
+            doesn't delay the reverse change.
     """
 
     changed_at: float = -math.inf
@@ -116,9 +117,9 @@
     Attributes:
         role: The new role.
         targets: The engines.
-        replaces_lost: Whether the change replaces lost engines. They may be back soon,
-            so the change doesn't reflect the demand and doesn't delay the reverse
-            change.
+        replaces_lost: Whether the change replaces lost engines, or is treated like such
+            a change. Lost engines may be back soon, so the change doesn't reflect the
+            demand and doesn't delay the reverse change.
     """
 
     role: str
@@ -196,8 +197,8 @@
         prefill_engines, decode_engines, prefill_load
     )
     if missing > 0:
-        # Long answers occupy their slots for long, so this change doesn't wait for the
-        # minimum time before a reverse change.
+        # Long answers occupy their slots for long, so this change doesn't wait for
+        # `REVERSE_CHANGE_S`. Like a replacement, it doesn't delay the reverse change.
         return _change_to_decode(
             prefill_engines, min(batch, missing), replaces_lost=True
         )
@@ -301,10 +302,10 @@
     decode_engines: list[EnginePair],
     prefill_load: float,
 ) -> int:
-    """Count the prefill engines of a large fleet that decode needs more than prefill.
+    """Count the prefill engines of a large fleet that should change to decode.
 
     When both prefill and decode lack engines, the engines are divided in proportion to
-    the number that each of them keeps busy.
+    the number that each phase keeps busy. At least one prefill engine stays.
     """
     if (
         not _is_large_fleet(prefill_engines, decode_engines)
--- a/src/robinspindle/core/records.py
+++ b/src/robinspindle/core/records.py
@@ -74,7 +74,8 @@
             standing intent.
         changes_per_hour: Maximum number of automatic role changes in any hour.
         cooldown_s: Minimum time between two automatic role changes, seconds.
-        gain: Minimum relative reduction of the load that justifies a role change.
+        gain: Minimum relative reduction of the load, beyond the cost of the change,
+            that justifies a role change.
     """
 
     model: str
--- a/src/robinspindle/core/roles.py
+++ b/src/robinspindle/core/roles.py
@@ -24,7 +24,7 @@
 
 @dataclass
 class PendingChanges:
-    """Changes that must remain the best ones for a while before they are made.
+    """Changes that are not made before they have been the best ones for a while.
 
     Attributes:
         wanted: Target and new role of the best change, by model.
@@ -57,11 +57,15 @@
 
 
 def estimate_load(demand: PoolDemand, roles: list[str]) -> float:
-    """Estimate the load of the busiest part of a pool; 1 is full capacity.
+    """Estimate the load of a pool; 1 is full capacity.
 
     Args:
         demand: The load on the pool.
         roles: The role of each engine of the pool.
+
+    Returns:
+        The highest of three loads: on all engines, on those that run prefill and on
+        those that run decode. Infinite if no engine can run a phase that has work.
     """
     mixed = roles.count("mixed")
     parts = (
@@ -88,7 +92,7 @@
     """Decide whether one target of a model should change its role.
 
     Args:
-        pending: The changes that were the best ones before; updated.
+        pending: The best change of each model at the last check; updated.
         state: The replicated state.
         envelope: The standing intent in effect for the model.
         reports: The last report of each target, by the target's name.
@@ -141,7 +145,12 @@
 def _find_best_change(
     pool: list[Target], envelope: Envelope, demand: PoolDemand
 ) -> tuple[str, str] | None:
-    """Find the change of one target's role with the largest gain, if it is enough."""
+    """Find the change of one target's role with the largest gain.
+
+    Returns:
+        The target and its new role. None if the load is below `MIN_LOAD`, or no gain
+        exceeds the minimum gain of the standing intent plus the cost of the change.
+    """
     intent = envelope.intent
     roles = {target.name: target.role for target in pool}
     current_load = estimate_load(demand, list(roles.values()))
--- a/src/robinspindle/core/scaling.py
+++ b/src/robinspindle/core/scaling.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 
 PLANNED_UTILIZATION = 0.6
-"""Share of the slots that the scaling aims to fill: beyond it queues grow fast,
-and the work of a lost target has to fit on the others."""
+"""Planned share of busy slots: beyond it queues grow fast, and the work of a lost
+target has to fit on the others."""
 
 SPARE_TARGETS = 1
 """Number of targets that may be lost without overloading the others."""
@@ -109,8 +109,11 @@
         demand: The demand, with at least one sample; updated.
         now: The current time, monotonic seconds.
         slots: Number of slots of one target.
-        present: Number of targets at present.
+        present: Current number of targets.
         bounds: The operator's bounds.
+
+    Returns:
+        The number of targets to order.
     """
     needed = find_needed(demand, slots, bounds)
     desired = demand.desired if demand.desired is not None else present
--- a/src/robinspindle/core/statemachine.py
+++ b/src/robinspindle/core/statemachine.py
@@ -94,6 +94,13 @@
 
 
 def _find_start(decoded: list[tuple[int, AnyRecord | None]], first: int) -> State:
+    """Return the state to start from.
+
+    It is empty if no record was trimmed, else that of the oldest usable checkpoint.
+
+    Raises:
+        LogIncompleteError: If records were trimmed that no retained checkpoint covers.
+    """
     if first == 0:
         return State()
     usable = [
@@ -137,6 +144,12 @@
 
 
 def _merge_targets(state: State, configuration: Configuration) -> dict[str, Target]:
+    """Build the targets of a new configuration.
+
+    A target keeps its previous state if it is an engine whose current model is still
+    configured, or a plain service whose previous pool is no configured model. Otherwise
+    it starts with the values of its section.
+    """
     merged = {}
     for name, section in configuration.targets.items():
         previous = state.targets.get(name)
--- a/tests/core/test_purity.py
+++ b/tests/core/test_purity.py
@@ -1,4 +1,8 @@
-"""The modules of `robinspindle.core` read no clock and use no I/O and no threads."""
+"""The modules of `robinspindle.core` are pure.
+
+They read no clock, use no I/O and no threads, and draw randomness only from a generator
+that the caller passes in.
+"""
 
 import ast
 from pathlib import Path
--- a/tests/core/test_rebalancing.py
+++ b/tests/core/test_rebalancing.py
@@ -1,3 +1,5 @@
+"""Decisions on role changes of the engines of a service."""
+
 import pytest
 
 from robinspindle.core import rebalancing
--- a/tests/core/test_rebalancing_simulation.py
+++ b/tests/core/test_rebalancing_simulation.py
@@ -35,8 +35,8 @@
     """A burst of work.
 
     Attributes:
-        prefill_load: Prefill load, in prefill engines.
-        answer_rate: Answers per second.
+        prefill_load: Additional prefill load, in prefill engines.
+        answer_rate: Additional answers per second.
         from_s: When the burst begins, seconds.
         to_s: When the burst ends, seconds.
     """
@@ -53,8 +53,9 @@
 
     Attributes:
         pairs: All engines.
-        away: Until when engines are out of service for a role change, by lifetime.
-        answers: When the slots of running answers become free.
+        away: When an engine that changes its role is back in service, seconds, by
+            lifetime.
+        answers: When the slot of each running answer becomes free, seconds.
         requested_s: Prefill work that was requested, seconds.
         met_s: Prefill work that met its deadline, seconds.
         answers_asked: Number of answers that were requested.
--- a/tests/core/test_scaling.py
+++ b/tests/core/test_scaling.py
@@ -1,4 +1,7 @@
-"""The number of targets in simulations of rising, falling and oscillating demand."""
+"""The number of targets in simulations of rising, falling and oscillating demand.
+
+Some simulations also lose or delay orders.
+"""
 
 import random
 
