--- a/src/robinspindle/core/answerstats.py
+++ b/src/robinspindle/core/answerstats.py
@@ -1,67 +1,70 @@
-"""How long answers last: learnt by route, to tell those that are hosted together.
+"""Keeps statistics of answers by route, to tell long answers from short ones.
 
-Callers tell the most that an answer may hold, far more than most answers do, and a
-guess that is right in the middle. How long an event takes is seen.
+Callers report the maximum length of an answer, which is far above most lengths, and a
+guess whose median is right. The time per event is measured.
 """
 
 import math
 from dataclasses import dataclass, field
 
-LONG_ANSWER_S = 2.0
-"""Answers of a route that would last longer than this, undisturbed, count as long,
-seconds. Counted by the most that they may hold, answers of a second would be brought
-together where all of them pause."""
+MIN_LONG_ANSWER_S = 2.0
+"""Answers of a route count as long if they are expected to last at least this long
+without disturbance, seconds. If their maximum length decided, answers of one second
+would be concentrated on few engines, where all of them pause."""
 
-FIRST_EVENT_S = 0.05
-"""What an event is believed to take before any was seen, seconds."""
+INITIAL_EVENT_S = 0.05
+"""Assumed time per event before any was measured, seconds."""
 
 MIN_TIMED_EVENTS = 8
-"""Shorter answers don't tell how long an event takes: their last one is cut short, and
-where nine in ten streams are that short, all events would look so."""
+"""Minimum events of an answer for its time per event to count: the last event of an
+answer is incomplete, and where nine in ten answers are shorter than this, all events
+would appear too fast."""
 
-FIRST_BEGIN_S = 0.01
-"""What an answer is believed to take to begin after its prompt was read apart, before
-any did, seconds: one more call and the fetch of about a gigabyte."""
+INITIAL_HANDOFF_S = 0.01
+"""Assumed delay from the end of a prefill on another engine to the first event, before
+any was measured, seconds: one more call and the fetch of about one gigabyte."""
 
-BEGIN_STEP = 1.1
-"""By how much what is believed of that goes up with an answer that took longer, and
-down with one that did not."""
+HANDOFF_STEP_FACTOR = 1.1
+"""Factor by which the estimated handoff delay rises with an answer that took longer and
+falls with one that did not."""
 
-LEAST_BEGIN_S = 0.002
-"""The least that is believed, seconds: about one way to an engine."""
+MIN_HANDOFF_S = 0.002
+"""Minimum of the estimated handoff delay, seconds: about one network delay to an
+engine."""
 
-BEGIN_NEWS_S = 3.0
-"""Time in which that is forgotten where no answer begins, seconds: what makes all plans
-late would never be seen to be over, as nothing goes there in time."""
+HANDOFF_DECAY_S = 3.0
+"""Time constant with which the estimate returns to its initial value while no answer
+begins, seconds. An estimate that makes all plans late would otherwise never recover, as
+no request that can meet its deadline is sent there."""
 
 MIN_PAUSE_SENSITIVE_EVENTS = 4.0
-"""Answers of a route that are expected to hold fewer events hardly have a pause: what
-is read beside them is not limited for their sake, or engines that host only answers of
-one or two events would read less than they can."""
+"""Minimum expected events for answers of a route to be sensitive to pauses. Shorter
+answers hardly pause, so prefill beside them is not limited: engines that generate only
+answers of one or two events would otherwise prefill less than they can."""
 
 EVENT_SMOOTHING = 0.05
 LENGTH_SMOOTHING = 0.05
 """Weight of the newest answer, and of the newest guess: about the last twenty count."""
 
-RISE_SHARE = 0.1
-"""Share of that weight with which an event that took longer counts: what is learnt is
-an event beside which little is read, since answers that pause are not long for that.
-With the mean they become so, and pause the more."""
+RISE_WEIGHT_FACTOR = 0.1
+"""Factor on that weight for an event that took longer. The estimate is the time per
+event with little prefill beside it, since a pause alone does not make an answer long.
+With the mean, answers that pause would count as long and then pause more."""
 
 
-PRESSURE_S = 5.0
-"""Time over which it is averaged how long the longest answers take against their time,
-seconds: several of them end meanwhile at each entry."""
+PRESSURE_WINDOW_S = 5.0
+"""Time constant of the average ratio of the duration of the longest answers to their
+time limit, seconds: each gateway sees several of them end in that time."""
 
 
 @dataclass
 class DeadlinePressure:
-    """How long the longest answers of a service would take against the time they have.
+    """Ratio of the duration of a service's longest answers to their time limit.
 
     Attributes:
-        weight: Answers it was seen at, faded.
-        total: The sum of shares over them, faded.
-        at: When both were last brought up to date, steady seconds.
+        weight: Number of recorded answers, decayed.
+        total: Sum of their ratios, decayed.
+        at: When both were last updated, monotonic seconds.
     """
 
     weight: float = 0.0
@@ -71,11 +74,11 @@
 
 @dataclass(frozen=True)
 class Handoff:
-    """How long answers took to begin after their prompts were read.
+    """Delay from the end of prefills on another engine to the first event.
 
     Attributes:
-        seconds: What the middle one took, about.
-        at: When one was last seen, steady seconds.
+        seconds: Approximate median delay.
+        at: When an answer last began, monotonic seconds.
     """
 
     seconds: float
@@ -84,107 +87,109 @@
 
 @dataclass
 class AnswerStats:
-    """What is known of answers.
+    """Statistics of answers.
 
     Attributes:
-        event_s: Seconds from one event to the next, undisturbed, by service.
-        begins: From the end of a reading apart to the first event, by service and by
-            whether it goes after all that can be in time.
-        events: Events that an answer is expected to hold, by route.
+        event_s: Time per event without disturbance, seconds, by service.
+        handoffs: Delay from the end of a prefill on another engine to the first event,
+            by service and by whether the request misses its deadline.
+        events: Expected events of an answer, by route.
         services: The service that last served a route.
-        pressures: How long the longest answers take against their time, by service.
+        pressures: Ratio of the duration of the longest answers to their time limit, by
+            service.
     """
 
     event_s: dict[str, float] = field(default_factory=dict)
-    begins: dict[tuple[str, bool], Handoff] = field(default_factory=dict)
+    handoffs: dict[tuple[str, bool], Handoff] = field(default_factory=dict)
     events: dict[str, float] = field(default_factory=dict)
     services: dict[str, str] = field(default_factory=dict)
     pressures: dict[str, DeadlinePressure] = field(default_factory=dict)
 
     def note_expected(self, route: str, service: str, events: float) -> None:
-        """Take note of how many events a caller expects."""
+        """Record how many events a caller expects."""
         self.services[route] = service
         known = self.events.setdefault(route, events)
         self.events[route] = known + LENGTH_SMOOTHING * (events - known)
 
     def note_answer(self, service: str, events: int, seconds: float) -> None:
-        """Take note of an answer: its events, and from its first to its last."""
+        """Record an answer: its events, and the time between first and last one."""
         if events < MIN_TIMED_EVENTS:
             return
         known = self.find_event_s(service)
-        taken = seconds / (events - 1)
-        weight = EVENT_SMOOTHING * (RISE_SHARE if taken > known else 1.0)
-        self.event_s[service] = known + weight * (taken - known)
+        measured_s = seconds / (events - 1)
+        weight = EVENT_SMOOTHING * (RISE_WEIGHT_FACTOR if measured_s > known else 1.0)
+        self.event_s[service] = known + weight * (measured_s - known)
 
     def find_event_s(self, service: str) -> float:
-        """Find how long an undisturbed event takes, seconds."""
-        return self.event_s.get(service, FIRST_EVENT_S)
+        """Find the time per event without disturbance, seconds."""
+        return self.event_s.get(service, INITIAL_EVENT_S)
 
     def note_pressure(self, service: str, now: float, share: float) -> None:
-        """Take note of one long answer.
+        """Record one long answer.
 
         Args:
             service: Its service.
-            now: The present time, steady seconds.
-            share: How long an answer with the most events would have taken at the pace
-                of this one, as a share of the time that its caller gave it.
+            now: The current time, monotonic seconds.
+            share: Ratio of the duration of an answer with the maximum number of events,
+                at this answer's time per event, to the time limit of its caller.
         """
         pressure = self.pressures.setdefault(service, DeadlinePressure(at=now))
-        kept = math.exp((pressure.at - now) / PRESSURE_S)
-        pressure.weight = pressure.weight * kept + 1.0
-        pressure.total = pressure.total * kept + share
+        decay = math.exp((pressure.at - now) / PRESSURE_WINDOW_S)
+        pressure.weight = pressure.weight * decay + 1.0
+        pressure.total = pressure.total * decay + share
         pressure.at = now
 
     def find_pressure(self, service: str, now: float) -> float:
-        """Find how long the longest answers take against their time; 0 for not known.
+        """Find the duration of the longest answers per time limit; 0 if not known.
 
         Args:
             service: The service.
-            now: The present time, steady seconds.
+            now: The current time, monotonic seconds.
         """
         pressure = self.pressures.get(service)
         if pressure is None or pressure.weight <= 0.0:
             return 0.0
-        weight = pressure.weight * math.exp((pressure.at - now) / PRESSURE_S)
-        # A few answers of long ago say nothing of the present.
+        weight = pressure.weight * math.exp((pressure.at - now) / PRESSURE_WINDOW_S)
+        # A few old answers are no evidence of the present state.
         return pressure.total / pressure.weight if weight >= 1.0 else 0.0
 
     def note_handoff(
         self, service: str, now: float, seconds: float, is_late: bool
     ) -> None:
-        """Take note of how long an answer took to begin after its prompt was read.
+        """Record the delay from a prefill on another engine to the first event.
 
         Args:
-            service: Its service.
-            now: The present time, steady seconds.
-            seconds: How long it took.
-            is_late: Whether it went after all that can be in time.
+            service: The service of the request.
+            now: The current time, monotonic seconds.
+            seconds: The delay, seconds.
+            is_late: Whether the request misses its deadline.
         """
         known = self.find_handoff_s(service, now, is_late)
-        # Toward the middle one: a few that hung for seconds say nothing of the others.
-        step = BEGIN_STEP if seconds > known else 1 / BEGIN_STEP
-        handoff_s = max(LEAST_BEGIN_S, known * step)
-        self.begins[service, is_late] = Handoff(handoff_s, now)
+        # Fixed steps approach the median: a few stalls of seconds hardly change it.
+        step = HANDOFF_STEP_FACTOR if seconds > known else 1 / HANDOFF_STEP_FACTOR
+        handoff_s = max(MIN_HANDOFF_S, known * step)
+        self.handoffs[service, is_late] = Handoff(handoff_s, now)
 
     def find_handoff_s(self, service: str, now: float, is_late: bool = False) -> float:
-        """Find how long an answer takes to begin after a reading apart, seconds.
+        """Find the delay from a prefill on another engine to the first event, seconds.
 
-        What is late waits at its host for all that is not. Learnt together, that wait
-        made all answers look late, so that all went late and waited.
+        Late requests wait at their decode engine for all others. When one estimate
+        covered both, their wait made all requests appear late, so that all were sent as
+        late and waited.
 
         Args:
-            service: Its service.
-            now: The present time, steady seconds.
-            is_late: Whether it goes after all that can be in time.
+            service: The service.
+            now: The current time, monotonic seconds.
+            is_late: Whether the request misses its deadline.
         """
-        begin = self.begins.get((service, is_late))
-        if begin is None:
-            return FIRST_BEGIN_S
-        kept = math.exp((begin.at - now) / BEGIN_NEWS_S)
-        return FIRST_BEGIN_S + (begin.seconds - FIRST_BEGIN_S) * kept
+        handoff = self.handoffs.get((service, is_late))
+        if handoff is None:
+            return INITIAL_HANDOFF_S
+        decay = math.exp((handoff.at - now) / HANDOFF_DECAY_S)
+        return INITIAL_HANDOFF_S + (handoff.seconds - INITIAL_HANDOFF_S) * decay
 
     def has_pause_sensitive(self, service: str) -> bool:
-        """Whether a service has answers that are short and yet have pauses."""
+        """Check whether a service has short answers that are sensitive to pauses."""
         return any(
             self.is_pause_sensitive(route) and not self.is_long(route, service)
             for route, served_by in self.services.items()
@@ -192,10 +197,10 @@
         )
 
     def is_pause_sensitive(self, route: str) -> bool:
-        """Whether answers of a route are expected to hold enough events to pause."""
+        """Check whether answers of a route usually have enough events to pause."""
         return self.events.get(route, 0.0) >= MIN_PAUSE_SENSITIVE_EVENTS
 
     def is_long(self, route: str, service: str) -> bool:
-        """Whether answers of a route are expected to be long."""
+        """Check whether answers of a route are expected to be long."""
         event_s = self.find_event_s(service)
-        return self.events.get(route, 0.0) * event_s >= LONG_ANSWER_S
+        return self.events.get(route, 0.0) * event_s >= MIN_LONG_ANSWER_S
--- a/src/robinspindle/core/decodeplacement.py
+++ b/src/robinspindle/core/decodeplacement.py
@@ -1,4 +1,4 @@
-"""Where answers are generated: the choice among engines that host them."""
+"""Chooses the decode engine of an answer."""
 
 import math
 import random
@@ -13,149 +13,166 @@
 )
 from robinspindle.core.targets import Target
 
-HOST_SPREAD_SHARE = 0.2
-"""By how much the weights of hosts are varied at random, as a share of the age of what
-is known: some of what a host is sent meanwhile is not known yet, and each request slows
-it down by some milliseconds."""
+COST_JITTER_SHARE = 0.2
+"""Largest random addition to a decode engine's cost, as a share of the age of the known
+state: some of the requests sent to an engine meanwhile are not yet known, and each of
+them slows it down by a few milliseconds."""
 
-FAR_S = 0.010
-"""Seconds that another availability zone counts for: a round trip of about 3 ms, and
-bytes whose price is about that of reading 2,000 shared tokens again."""
+CROSS_ZONE_COST_S = 0.010
+"""Cost of a target in another availability zone, seconds: a round trip takes about 3
+ms, and the transferred bytes cost about as much as prefilling 2,000 shared tokens
+again."""
 
-SLOT_S = 0.002
-"""Seconds that each request in flight counts for at a generating engine, so that
-answers are spread: its share of the steps that it slows down."""
+REQUEST_COST_S = 0.002
+"""Cost of each request in flight at a decode engine, seconds, so that answers are
+spread: its share of the decode steps that it slows down."""
 
-HOST_SHARE = 0.3
-"""Share of its slots that long answers may fill before the next engine hosts them."""
+LONG_ANSWER_SLOT_SHARE = 0.3
+"""Share of its slots that long answers may fill before they go to the next engine."""
 
-HOST_S = 0.02
-"""Seconds that an engine without long answers, or with too many, counts for as a host
-of one more: more than the way to another zone, less than a prompt's reading."""
+UNEVEN_LOAD_COST_S = 0.02
+"""Cost of an engine without long answers, or with too many, for one more long answer,
+seconds. It is above the cost of another zone and below the prefill time of a prompt."""
 
-LONGEST_TIMES = 2.5
-"""How many times longer than the mean of its kind a longest answer is."""
+LONGEST_TO_MEAN_RATIO = 2.5
+"""Assumed ratio of the longest answers of a kind to their mean length."""
 
 CAPACITY_SHARE = 0.85
-"""Share of what the longest answers bear at which an engine takes no more of them:
-events take longer as answers grow."""
+"""Share of the time per event that the longest answers tolerate at which an engine
+takes no more of them: the time per event rises as answers grow."""
 
 SLOW_ENGINE_FACTOR = 1.25
-"""An engine whose events take more than so many times what the longest answers bear is
-slow by itself and hosts only shorter ones; below that it has too many."""
+"""An engine whose time per event exceeds this multiple of what the longest answers
+tolerate is slow in itself and takes only shorter answers. Below it, the engine has too
+many answers."""
 
-LENGTH_RESERVE = 2.0
-"""How many times longer than its caller guessed an answer may become and still end in
-time: guesses are right in the middle and often far off."""
+LENGTH_SAFETY_FACTOR = 2.0
+"""Factor by which an answer may exceed its caller's guess and still meet its deadline:
+the median guess is right, but many are far off."""
 
-SLOW_EVENTS = 2.5
-"""From so many times the pace of the fastest host on, an engine's long answers are slow
-for another reason than that they are many, and that counts against it as their host."""
+SLOW_EVENT_FACTOR = 2.5
+"""Multiple of the time per event of the fastest engine above which the cost of an
+engine rises: its long answers are then slow for another reason than their number."""
 
-MOST_SLOWNESS = 4.0
-"""The most that this counts for: an engine that gets nothing is not seen to recover."""
+MAX_SLOWDOWN = 4.0
+"""Upper limit of the slowdown in costs: the recovery of an engine that gets no requests
+would not be noticed."""
 
-FAULT_S = 0.3
-"""Seconds that a target which only fails counts for; longer than a usual aim."""
+FAULT_COST_S = 0.3
+"""Cost of a target that only fails, seconds; above a usual latency objective."""
 
 
 def choose_long_decode_pair(
-    hosts: list[Pair],
+    pairs: list[Pair],
     zone: str,
     now: float,
     max_event_s: float = math.inf,
     longest_answer_event_s: float = math.inf,
 ) -> Pair:
-    """Choose the engine that hosts a long answer.
+    """Choose the engine that generates a long answer.
 
-    The longest answers need events that come fast, or their callers' limits cut them;
-    others bear a slower host. Among all hosts alike the longest alone are lost.
+    The longest answers need events that come fast, as their callers' time limits cut
+    them otherwise; shorter ones tolerate a slower engine. If all were spread alike,
+    only the longest would be lost.
 
     Args:
-        hosts: The engines that generate, at least one.
-        zone: The entry's availability zone.
-        now: The present time, steady seconds.
-        max_event_s: The longest that an event may take for the answer to end in time,
-            seconds.
-        longest_answer_event_s: The same for the longest answers of its kind,
-            seconds. Answers that tolerate an engine which is too slow for those leave
-            the fast engines to them.
+        pairs: The decode engines, at least one.
+        zone: The gateway's availability zone.
+        now: The current time, monotonic seconds.
+        max_event_s: The longest time per event with which the answer ends before its
+            deadline, seconds.
+        longest_answer_event_s: The same for the longest answers of its kind, seconds.
+            Answers that tolerate an engine which is too slow for those leave the fast
+            engines to them.
     """
 
-    def weigh_late(pair: Pair) -> float:
-        way_s = estimate_target_cost_s(pair[0], zone)
-        return _find_pace(pair[1], now) + way_s + estimate_slot_wait_s(pair)
+    def compute_late_cost_s(pair: Pair) -> float:
+        target_cost_s = estimate_target_cost_s(pair[0], zone)
+        return (
+            _find_event_s_or_zero(pair[1], now)
+            + target_cost_s
+            + estimate_slot_wait_s(pair)
+        )
 
-    borne = [
+    with_capacity = [
         p
-        for p in hosts
+        for p in pairs
         if has_long_capacity(p, now, max_event_s, longest_answer_event_s)
     ]
-    fast = [pair for pair in borne if _find_pace(pair[1], now) <= max_event_s]
-    if not fast:
-        return min(borne or hosts, key=weigh_late)
-    too_slow_s = longest_answer_event_s * SLOW_ENGINE_FACTOR
-    spared = [
+    fast_enough = [
         pair
-        for pair in fast
-        if _find_pace(pair[1], now) > too_slow_s and not estimate_slot_wait_s(pair)
+        for pair in with_capacity
+        if _find_event_s_or_zero(pair[1], now) <= max_event_s
     ]
-    fastest_s = find_fastest_event_s(hosts, now)
-    return min(spared or fast, key=lambda p: _weigh_host(p, zone, now, fastest_s))
+    if not fast_enough:
+        return min(with_capacity or pairs, key=compute_late_cost_s)
+    slow_event_s = longest_answer_event_s * SLOW_ENGINE_FACTOR
+    too_slow_for_longest = [
+        pair
+        for pair in fast_enough
+        if _find_event_s_or_zero(pair[1], now) > slow_event_s
+        and not estimate_slot_wait_s(pair)
+    ]
+    fastest_s = find_fastest_event_s(pairs, now)
+    return min(
+        too_slow_for_longest or fast_enough,
+        key=lambda p: _compute_long_cost_s(p, zone, now, fastest_s),
+    )
 
 
-def find_max_event_s(prompt: Prompt, event_tokens: int, whole_s: float) -> float:
-    """Find how long an event may take for an answer to end in time, seconds.
+def find_max_event_s(prompt: Prompt, event_tokens: int, left_s: float) -> float:
+    """Find the longest time per event that meets an answer's deadline, seconds.
 
-    Where the caller does not guess any host will do: by the most that it may hold each
-    answer would look like the longest, and all would run after the fastest host.
+    If the caller gives no guess of the length, any engine will do. Based on the maximum
+    length, each answer would look like the longest, and all would choose the fastest
+    engine.
 
     Args:
         prompt: Its prompt.
-        event_tokens: Tokens that an event holds.
-        whole_s: Seconds until its caller's limit.
+        event_tokens: Tokens per event.
+        left_s: Time until its caller's limit, seconds.
     """
     if not prompt.expected_answer_tokens:
         return math.inf
     tokens = min(prompt.max_answer_tokens, prompt.expected_answer_tokens)
     events = max(1.0, tokens / event_tokens)
-    return whole_s / (events * LENGTH_RESERVE)
+    return left_s / (events * LENGTH_SAFETY_FACTOR)
 
 
 def find_longest_answer_event_s(
-    prompt: Prompt, event_tokens: int, mean_events: float, whole_s: float, gap_s: float
+    prompt: Prompt, event_tokens: int, mean_events: float, left_s: float, gap_s: float
 ) -> float:
-    """Find how long an event may take for the longest answers of a kind, seconds.
+    """Find the longest time per event for the longest answers of a kind, seconds.
 
-    Where callers don't guess nothing is known of those: the most that an answer may
-    hold is often far more than any does.
+    If callers give no guesses, these lengths are unknown: the maximum that an answer
+    may have is often far above all actual lengths.
 
     Args:
         prompt: A prompt of that kind.
-        event_tokens: Tokens that an event holds.
-        mean_events: Events that answers of the kind are expected to hold on average.
-        whole_s: Seconds until its caller's limit.
-        gap_s: The longest pause that is in time, seconds.
+        event_tokens: Tokens per event.
+        mean_events: Expected mean number of events of the kind's answers.
+        left_s: Time until its caller's limit, seconds.
+        gap_s: The longest allowed pause between two events, seconds.
     """
     if not prompt.expected_answer_tokens:
         return math.inf
     most_events = prompt.max_answer_tokens / event_tokens
-    events = max(1.0, min(most_events, mean_events * LONGEST_TIMES))
-    return min(gap_s * PAUSE_LIMIT_SHARE, whole_s / events)
+    events = max(1.0, min(most_events, mean_events * LONGEST_TO_MEAN_RATIO))
+    return min(gap_s * PAUSE_LIMIT_SHARE, left_s / events)
 
 
 def has_long_capacity(
     pair: Pair, now: float, max_event_s: float, longest_answer_event_s: float
 ) -> bool:
-    """Whether an engine bears one more long answer beside those that it generates.
+    """Check whether an engine has capacity for one more long answer.
 
     Args:
         pair: The engine.
-        now: The present time, steady seconds.
-        max_event_s: The longest that an event may take for this answer, seconds.
+        now: The current time, monotonic seconds.
+        max_event_s: The longest time per event that this answer tolerates, seconds.
         longest_answer_event_s: The same for the longest of its kind, seconds.
     """
-    event_s = _find_pace(pair[1], now)
+    event_s = _find_event_s_or_zero(pair[1], now)
     if event_s <= longest_answer_event_s * CAPACITY_SHARE:
         return True
     if event_s <= longest_answer_event_s * SLOW_ENGINE_FACTOR:
@@ -171,107 +188,112 @@
     rng: random.Random,
     has_pause_sensitive: bool = True,
 ) -> Target | None:
-    """Choose where the answer to a prompt that was read apart is generated.
+    """Choose the target that decodes after a prefill on another engine.
 
     Args:
         candidates: The engines that may get work.
-        zone: The entry's availability zone.
-        now: The present time, steady seconds.
-        age_s: How old what the other entries told may be, seconds.
+        zone: The gateway's availability zone.
+        now: The current time, monotonic seconds.
+        age_s: Maximum age of what other gateways have reported, seconds.
         rng: Source of random choices.
-        has_pause_sensitive: Whether short answers are sensitive to pauses, so that
-            the time per event of a decode engine counts.
+        has_pause_sensitive: Whether short answers are sensitive to pauses, so that the
+            time per event of a decode engine counts.
     """
-    generating = [pair for pair in candidates if not pair[1].prefill_only]
-    if not generating:
+    decode_pairs = [pair for pair in candidates if not pair[1].prefill_only]
+    if not decode_pairs:
         return None
 
-    fastest_s = find_fastest_event_s(generating, now) if has_pause_sensitive else 0.0
+    fastest_s = find_fastest_event_s(decode_pairs, now) if has_pause_sensitive else 0.0
 
-    def weigh(pair: Pair) -> float:
-        slowness = find_event_slowdown(pair[1], now, fastest_s)
-        spread_s = rng.random() * age_s * HOST_SPREAD_SHARE
-        return estimate_decode_cost_s(pair, zone, slowness) + spread_s
+    def compute_cost_s(pair: Pair) -> float:
+        slowdown = find_event_slowdown(pair[1], now, fastest_s)
+        jitter_s = rng.random() * age_s * COST_JITTER_SHARE
+        return estimate_decode_cost_s(pair, zone, slowdown) + jitter_s
 
-    return min(generating, key=weigh)[0]
+    return min(decode_pairs, key=compute_cost_s)[0]
 
 
-def find_fastest_event_s(hosts: list[Pair], now: float) -> float:
-    """Find the pace of the fastest host that is known, seconds an event; 0 for none."""
-    known = (find_event_s(engine, now) for _, engine in hosts)
+def find_fastest_event_s(pairs: list[Pair], now: float) -> float:
+    """Find the shortest known time per event, seconds; 0 if none is known."""
+    known = (find_event_s(engine, now) for _, engine in pairs)
     return min((event_s for event_s in known if event_s is not None), default=0.0)
 
 
-def _weigh_host(pair: Pair, zone: str, now: float, fastest_s: float) -> float:
-    """Weigh an engine as the host of a long answer.
+def _compute_long_cost_s(pair: Pair, zone: str, now: float, fastest_s: float) -> float:
+    """Compute the cost of an engine for one more long answer, seconds.
 
-    Long answers are brought together on few engines, up to a share of their slots, so
-    that the others are free to read: reading makes the answers beside it pause.
+    Long answers are concentrated on few engines, up to a share of their slots, so that
+    the other engines are free to prefill: a prefill pauses the answers beside it.
     """
     target, engine = pair
-    room = max(1.0, HOST_SHARE * target.announced.slots)
-    used = engine.long_answers / room
-    crowded_s = HOST_S * (used if used >= 1.0 else 1.0 - used)
-    event_s = _find_pace(engine, now)
-    slow_s = max(0.0, event_s - SLOW_EVENTS * fastest_s)
+    capacity = max(1.0, LONG_ANSWER_SLOT_SHARE * target.announced.slots)
+    load = engine.long_answers / capacity
+    load_cost_s = UNEVEN_LOAD_COST_S * (load if load >= 1.0 else 1.0 - load)
+    event_s = _find_event_s_or_zero(engine, now)
+    slow_s = max(0.0, event_s - SLOW_EVENT_FACTOR * fastest_s)
     wait_s = engine.backlog_s + estimate_slot_wait_s(pair)
-    return wait_s + crowded_s + slow_s + estimate_target_cost_s(target, zone)
+    return wait_s + load_cost_s + slow_s + estimate_target_cost_s(target, zone)
 
 
-def _find_pace(engine: Engine, now: float) -> float:
-    """Find the pace of an engine's answers, seconds an event; 0 where not known."""
+def _find_event_s_or_zero(engine: Engine, now: float) -> float:
+    """Find the time per event of an engine's answers, seconds; 0 if not known."""
     return find_event_s(engine, now) or 0.0
 
 
 def count_requests(pair: Pair) -> int:
-    """Count the requests of all entries that are under way at an engine."""
+    """Count the requests of all gateways that are in flight at an engine."""
     target, engine = pair
     return target.in_flight + engine.others_in_flight
 
 
 def estimate_slot_wait_s(pair: Pair) -> float:
-    """Find how long an answer waits for a slot of an engine, seconds.
+    """Estimate how long an answer waits for a slot of an engine, seconds.
 
-    An engine makes so many answers at once; one more begins when one of them ends.
+    An engine generates a limited number of answers at once; the next one begins when
+    one of them ends.
     """
     target, engine = pair
     slots = max(1, target.announced.slots)
-    beyond = count_requests(pair) + 1 - slots
-    return max(0, beyond) * engine.slot_hold_s / slots
+    queued = count_requests(pair) + 1 - slots
+    return max(0, queued) * engine.slot_hold_s / slots
 
 
 def find_event_slowdown(engine: Engine, now: float, fastest_s: float) -> float:
-    """Find how many times longer an engine's events take than the fastest host's.
+    """Find the ratio of an engine's time per event to that of the fastest engine.
 
     Args:
         engine: The engine.
-        now: The present time, steady seconds.
-        fastest_s: Pace of the fastest host, seconds an event; 0 where none is known.
+        now: The current time, monotonic seconds.
+        fastest_s: Time per event of the fastest engine, seconds; 0 if not known.
     """
-    event_s = max(_find_pace(engine, now), find_current_pause(engine, now))
+    event_s = max(_find_event_s_or_zero(engine, now), find_current_pause(engine, now))
     if not event_s or not fastest_s:
         return 1.0
-    return min(MOST_SLOWNESS, max(1.0, event_s / fastest_s))
+    return min(MAX_SLOWDOWN, max(1.0, event_s / fastest_s))
 
 
-def estimate_decode_cost_s(pair: Pair, zone: str, slowness: float = 1.0) -> float:
-    """Weigh an engine as the host of a short answer, seconds.
+def estimate_decode_cost_s(pair: Pair, zone: str, slowdown: float = 1.0) -> float:
+    """Estimate the cost of an engine for a short answer, seconds.
 
-    Where events take longer each answer stays longer and slows more of the others:
-    slow hosts get fewer. With as many as others they fill up with answers that pause
-    and are cut at their callers' limits.
+    Slow engines get fewer answers: where events take longer, each answer stays longer
+    and slows more of the others. If they got as many as others, they would fill up with
+    answers that pause and are cut at their callers' time limits.
 
     Args:
         pair: The engine.
-        zone: The entry's availability zone.
-        slowness: How many times longer its events take than the fastest host's.
+        zone: The gateway's availability zone.
+        slowdown: Ratio of its time per event to that of the fastest engine.
     """
     target, engine = pair
-    way_s = estimate_target_cost_s(target, zone)
-    return count_requests(pair) * SLOT_S * slowness + engine.backlog_s + way_s
+    target_cost_s = estimate_target_cost_s(target, zone)
+    return (
+        count_requests(pair) * REQUEST_COST_S * slowdown
+        + engine.backlog_s
+        + target_cost_s
+    )
 
 
 def estimate_target_cost_s(target: Target, zone: str) -> float:
-    """Weigh a target's way and its faults, seconds."""
-    far_s = FAR_S if target.announced.zone != zone else 0.0
-    return far_s + FAULT_S * target.faults
+    """Estimate the cost of a target's network delay and faults, seconds."""
+    zone_cost_s = CROSS_ZONE_COST_S if target.announced.zone != zone else 0.0
+    return zone_cost_s + FAULT_COST_S * target.faults
--- a/src/robinspindle/core/prefillplacement.py
+++ b/src/robinspindle/core/prefillplacement.py
@@ -1,9 +1,10 @@
-"""Where a prompt is read and where its answer is generated.
+"""Chooses where a prompt is prefilled and where its answer is generated.
 
-Either an engine that only reads does it and the engine that generates fetches the
-result, or the generating engine reads the prompt itself, more slowly and at the cost
-of those that it serves. Prompts share long parts, so it matters most which engine has
-read those before: all caches together hold far more than one does.
+Either a prefill engine computes the KV cache of the prompt and the decode engine
+fetches it (disaggregated prefill), or the decode engine prefills the prompt itself,
+which is slower and delays the answers that it generates. Prompts share long parts, and
+all caches together hold far more than one does, so what matters most is which engine
+has cached those parts.
 """
 
 import math
@@ -11,7 +12,7 @@
 from dataclasses import dataclass, replace
 
 from robinspindle.core.decodeplacement import (
-    SLOT_S,
+    REQUEST_COST_S,
     choose_long_decode_pair,
     count_requests,
     estimate_decode_cost_s,
@@ -48,50 +49,54 @@
 )
 from robinspindle.core.targets import Target
 
-SPREAD_SHARE = 1.0
-"""By how much costs are varied at random, as a share of the age of what is known."""
+COST_JITTER_SHARE = 1.0
+"""Largest random addition to the cost of a plan, as a share of the state's age."""
 
-FEW_CHOICES = 2
-DRAWS = 2
+SUBSET_SIZE = 2
+MAX_SUBSETS = 2
 MAX_UNREPORTED_PREFILLS = 0.3
-"""Where others place more prompts at an engine than this, on average, before they tell
-of it, only so many engines are compared, drawn at random; so many draws are made where
-none of the first is in time. The choice of two rather than one is what matters where
-beliefs are old (Mitzenmacher, "How useful is old information?", 2000). To draw among
-those that look in time gains less: all run after those."""
+"""Limits the number of engines that are compared when the known state is stale.
 
-MOST_END_S = 0.05
-"""The most that the generating engine's own work counts for when a prompt is read
-apart, seconds."""
+If other gateways place more than MAX_UNREPORTED_PREFILLS prompts at an engine, on
+average, before they report it, only SUBSET_SIZE randomly chosen engines are compared;
+up to MAX_SUBSETS such subsets are tried if no plan of the first meets the deadline.
+With stale state, comparing two engines instead of one gives most of the gain
+(Mitzenmacher, "How useful is old information?", 2000). Sampling only among the engines
+that appear to meet the deadline gains less, as all gateways then choose those."""
 
-IN_TIME_SHARE = 0.9
-"""Share of the time to the aim that a plan may fill by its estimate and still count as
-in time; the rest is for what was misjudged. With less of it prompts that could have
-been in time give way to all others."""
+MAX_DECODE_COST_S = 0.05
+"""Upper limit on the cost of the decode engine's own load when the prompt is prefilled
+on another engine, seconds."""
 
-HOPE_SHARE = 0.8
-"""Share of the time until its caller gives up that the first event of a late answer may
-take by its estimate; the rest is for what was misjudged."""
+DEADLINE_SHARE = 0.9
+"""Share of the time to the deadline that the estimate of a plan may use; the rest
+covers estimation errors. With a smaller share, prompts that could have met their
+deadline are treated as late."""
+
+TIMEOUT_SHARE = 0.8
+"""Share of the time until the caller times out that the estimated time to the first
+event of a late answer may use; the rest covers estimation errors."""
 
 
 @dataclass(frozen=True)
 class RequestPlan:
-    """Where a request goes.
+    """Where a request is prefilled and decoded.
 
     Attributes:
-        target: Where its answer is generated.
-        reader: Where its prompt is read; None to read it at the target.
-        holder: From whose cache the engine that reads it first fetches the parts that
-            it lacks; None for none.
-        uncached_tokens: Tokens that have to be read.
-        prefill_s: Estimated seconds for which they occupy an engine.
-        wait_s: Estimated wait for other prompts, seconds.
-        first_event_s: Estimated seconds until the first event.
-        cost_s: What it counts for against other plans, seconds.
-        missing_share: Share of the prompt's shared parts that has to be read again.
-        fetch_s: Seconds of fetching from the holder.
-        level: How urgent the reading is.
-        has_capacity: Whether the target bears a long answer beside those that it has.
+        target: The target that generates the answer.
+        reader: The target that prefills the prompt; None if `target` does it.
+        holder: The target from whose cache the prefilling engine first fetches the
+            parts that it lacks; None if nothing is fetched.
+        uncached_tokens: Tokens that have to be prefilled.
+        prefill_s: Estimated time for which the prefill occupies an engine, seconds.
+        wait_s: Estimated wait for the prefill of other prompts, seconds.
+        first_event_s: Estimated time until the first event, seconds.
+        cost_s: Cost by which plans are compared, seconds.
+        missing_share: Share of the prompt's shared parts that has to be prefilled
+            again.
+        fetch_s: Estimated duration of the fetch from the holder, seconds.
+        level: Priority level of the prefill.
+        has_capacity: Whether the target has capacity for one more long answer.
         slot_wait_s: Estimated wait of a long answer for a slot of the target, seconds.
     """
 
@@ -112,34 +117,37 @@
 
 @dataclass(frozen=True)
 class PlanningContext:
-    """What a choice depends on besides the engines.
+    """What a plan depends on besides the engines.
 
     Attributes:
-        now: The present time, steady seconds.
-        left_s: Seconds until the first event should have come.
-        latency_objective_s: The time in which the first event should come, seconds.
+        now: The current time, monotonic seconds.
+        left_s: Time until the deadline of the first event, seconds.
+        latency_objective_s: Latency objective of the first event, seconds.
         rank: The operator's rank of the route; 0 is the highest.
         is_long: Whether the answer is expected to be long.
-        gap_s: The longest pause that long answers beside it may have, seconds.
-        zone: The entry's availability zone.
-        has_pause_sensitive: Whether short answers beside it have pauses at all.
-        handoff_s: Seconds from the end of a reading apart to the first event.
-        late_handoff_s: The same for what goes after all that can be in time.
-        token_transfer_s: Seconds that a token takes from engine to engine within an
-            availability zone; None where that is not known.
-        age_s: How old what the other entries told may be, seconds.
+        gap_s: The longest allowed pause between two events of an answer, seconds.
+        zone: The gateway's availability zone.
+        has_pause_sensitive: Whether the service has short answers that are sensitive
+            to pauses.
+        handoff_s: Delay from the end of a prefill on another engine to the first
+            event, seconds.
+        late_handoff_s: The same delay for requests that miss their deadline.
+        token_transfer_s: Time to transfer the KV cache of a token between engines of
+            one availability zone, seconds; None if not known.
+        age_s: Maximum age of what other gateways have reported, seconds.
         rng: Source of random choices; None to choose by cost alone.
         policy: The decisions in force.
         is_prompt_underserved: Whether prompts of its length are underserved, so that
             it keeps the priority of its rank even if it misses its deadline.
-        fastest_s: Pace of the fastest host, seconds an event; 0 where none is known
-            or short answers have no pauses.
-        max_event_s: The longest that an event may take for the answer to end in time,
-            seconds.
+        fastest_s: Time per event of the fastest decode engine, seconds; 0 if not known
+            or if no short answers are sensitive to pauses.
+        max_event_s: The longest time per event with which the answer ends before its
+            deadline, seconds.
         longest_answer_event_s: The same for the longest answers of its kind, seconds.
-        slot_wait_s: How long a long answer waits for a slot of its host, seconds.
-        is_answer_underserved: Whether it is sent also where its host has too many long
-            answers, as those of its length are due a turn.
+        slot_wait_s: Estimated wait of a long answer for a slot of its decode engine,
+            seconds.
+        is_answer_underserved: Whether answers of its length are underserved, so that
+            it is sent even if its decode engine has too many long answers.
     """
 
     now: float
@@ -165,280 +173,331 @@
 
 
 def choose_plan(
-    candidates: list[Pair], prompt: Prompt, at: PlanningContext
+    candidates: list[Pair], prompt: Prompt, context: PlanningContext
 ) -> RequestPlan | None:
-    """Choose where a prompt is read and its answer generated.
+    """Choose where a prompt is prefilled and where its answer is generated.
 
     Args:
         candidates: The engines that may get work.
         prompt: The prompt.
-        at: What else it depends on.
+        context: What else the choice depends on.
 
     Returns:
-        The cheapest plan that is in time; else the soonest; None without an engine
-        that generates.
+        The cheapest plan that meets the deadline; if there is none, the plan with the
+        earliest first event; None if there is no decode engine.
     """
-    generating = [pair for pair in candidates if not pair[1].prefill_only]
-    if not generating:
+    decode_pairs = [pair for pair in candidates if not pair[1].prefill_only]
+    if not decode_pairs:
         return None
-    if at.has_pause_sensitive:
-        at = replace(at, fastest_s=find_fastest_event_s(generating, at.now))
-    move = _find_move(candidates, prompt, at)
-    if at.is_long:
-        host = choose_long_decode_pair(
-            generating, at.zone, at.now, at.max_event_s, at.longest_answer_event_s
+    if context.has_pause_sensitive:
+        context = replace(
+            context, fastest_s=find_fastest_event_s(decode_pairs, context.now)
+        )
+    transfer = _find_transfer(candidates, prompt, context)
+    if context.is_long:
+        decode_pair = choose_long_decode_pair(
+            decode_pairs,
+            context.zone,
+            context.now,
+            context.max_event_s,
+            context.longest_answer_event_s,
         )
         has_capacity = has_long_capacity(
-            host, at.now, at.max_event_s, at.longest_answer_event_s
+            decode_pair,
+            context.now,
+            context.max_event_s,
+            context.longest_answer_event_s,
         )
-        at = replace(at, slot_wait_s=estimate_slot_wait_s(host))
-        plan = _plan_long(host, candidates, prompt, at, move)
-        return replace(plan, has_capacity=has_capacity or at.is_answer_underserved)
-    draws = _draw(candidates, at)
-    for drawn in draws:
-        plans = _list_plans(drawn, generating, prompt, at, move)
+        context = replace(context, slot_wait_s=estimate_slot_wait_s(decode_pair))
+        plan = _plan_long(decode_pair, candidates, prompt, context, transfer)
+        return replace(plan, has_capacity=has_capacity or context.is_answer_underserved)
+    subsets = _draw_subsets(candidates, context)
+    for subset in subsets:
+        plans = _list_plans(subset, decode_pairs, prompt, context, transfer)
         in_time = [
-            plan for plan in plans if plan.first_event_s <= at.left_s * IN_TIME_SHARE
+            plan
+            for plan in plans
+            if plan.first_event_s <= context.left_s * DEADLINE_SHARE
         ]
         if in_time:
-            return min(in_time, key=lambda plan: plan.cost_s + _draw_spread(at))
-    compared = [pair for drawn in draws for pair in drawn]
-    is_late = not at.is_prompt_underserved
-    late = _list_plans(compared, generating, prompt, at, move, is_late)
+            return min(in_time, key=lambda plan: plan.cost_s + _draw_jitter_s(context))
+    compared = [pair for subset in subsets for pair in subset]
+    is_late = not context.is_prompt_underserved
+    late = _list_plans(compared, decode_pairs, prompt, context, transfer, is_late)
     if not late:
-        late = _list_plans(candidates, generating, prompt, at, move, is_late)
-    return min(late, key=lambda plan: plan.first_event_s + _draw_spread(at))
+        late = _list_plans(candidates, decode_pairs, prompt, context, transfer, is_late)
+    return min(late, key=lambda plan: plan.first_event_s + _draw_jitter_s(context))
 
 
 def _plan_long(
-    host: Pair,
+    decode_pair: Pair,
     candidates: list[Pair],
     prompt: Prompt,
-    at: PlanningContext,
-    move: CacheTransfer | None,
+    context: PlanningContext,
+    transfer: CacheTransfer | None,
 ) -> RequestPlan:
-    """Plan where the prompt of a long answer is read; its host is chosen already.
+    """Plan the prefill for a long answer whose decode engine has been chosen.
 
-    The host reads it only where what it generates bears that. Read there in any case,
-    long prompts slow the answers beside them, which then last long and are read there
-    too.
+    The decode engine prefills the prompt only if the answers that it generates allow
+    it. If it prefilled every prompt, long prompts would slow the answers beside them;
+    these would then last long enough to count as long, and their prompts would be
+    prefilled there too.
     """
-    local = _plan_local(host, prompt, at, move)
-    if is_short(local.prefill_s, at.latency_objective_s) or _may_read_there(
-        host[1], local, at
-    ):
-        return local
-    readers = [pair for pair in candidates if pair[1].prefill_only]
-    plans = [_plan_apart(pair, host, prompt, at, move) for pair in readers]
-    return min(plans, key=lambda plan: plan.cost_s, default=local)
+    local_plan = _plan_local_prefill(decode_pair, prompt, context, transfer)
+    if is_short(
+        local_plan.prefill_s, context.latency_objective_s
+    ) or _may_prefill_there(decode_pair[1], local_plan, context):
+        return local_plan
+    prefill_pairs = [pair for pair in candidates if pair[1].prefill_only]
+    plans = [
+        _plan_remote_prefill(pair, decode_pair, prompt, context, transfer)
+        for pair in prefill_pairs
+    ]
+    return min(plans, key=lambda plan: plan.cost_s, default=local_plan)
 
 
 def should_refuse(
     plan: RequestPlan,
-    last_s: float,
+    timeout_s: float,
     serves_late: bool = True,
     most_slot_wait_s: float = math.inf,
 ) -> bool:
-    """Whether a request had better be refused than sent on.
+    """Check whether to refuse a request rather than send it.
 
-    A late answer is worth a part of one in time and a refusal nothing, so whatever is
-    believed to begin before its caller gives up is sent, after all that can be in time.
+    A late answer is worth a part of one that meets its deadline and a refusal is worth
+    nothing. Therefore a request is sent, after all that can meet their deadlines, if
+    its answer is estimated to begin before its caller times out.
 
-    That holds for an answer that is expected to be long too: where those were never
-    refused, most of the longest prompts waited in vain. A long one is also refused
-    where it would make others of its kind miss their limits, or waits for a slot: who
-    is refused at once can come back in time, who waits can't be in time any more.
+    This also applies to answers that are expected to be long: when these were never
+    refused, most of the longest prompts waited until their callers timed out. A long
+    answer is also refused if it would make others of its kind miss their time limits,
+    or if it would wait for a slot: a caller that is refused at once can retry in time,
+    but one that waits misses its deadline.
 
     Args:
-        plan: The best plan for it.
-        last_s: Seconds until the caller gives up if no event has come.
-        serves_late: Whether what can't be in time is sent at all.
-        most_slot_wait_s: The longest wait for a slot of its host that is worth while,
+        plan: The best plan for the request.
+        timeout_s: Time until the caller gives up if it receives no event, seconds.
+        serves_late: Whether requests that miss their deadline are sent at all.
+        most_slot_wait_s: The longest acceptable wait for a slot of the decode engine,
             seconds.
     """
     if not plan.has_capacity or plan.slot_wait_s > most_slot_wait_s:
         return True
     if plan.level == LATE_LEVEL and not serves_late:
         return True
-    return plan.first_event_s > last_s * HOPE_SHARE
+    return plan.first_event_s > timeout_s * TIMEOUT_SHARE
 
 
-def _draw(candidates: list[Pair], at: PlanningContext) -> list[list[Pair]]:
-    """Draw the engines to compare; the next ones count if none is in time before.
+def _draw_subsets(candidates: list[Pair], context: PlanningContext) -> list[list[Pair]]:
+    """Draw the subsets of engines to compare, in the order in which they are tried.
 
-    The more prompts others place before they tell of them, the less the best plan by
-    what is known is the best one: all would run after the engine that looks idle.
+    A later subset is used if no plan of the earlier ones meets the deadline. The more
+    prompts other gateways place before they report them, the less reliable the plan
+    that looks best: all gateways would choose the engine that appears idle.
     """
-    few = FEW_CHOICES
-    if len(candidates) <= few or not _is_old(candidates, at):
+    size = SUBSET_SIZE
+    if len(candidates) <= size or not _is_view_stale(candidates, context):
         return [candidates]
-    drawn = at.rng.sample(candidates, min(len(candidates), few * DRAWS))
-    return [drawn[start : start + few] for start in range(0, len(drawn), few)]
+    subset = context.rng.sample(candidates, min(len(candidates), size * MAX_SUBSETS))
+    return [subset[start : start + size] for start in range(0, len(subset), size)]
 
 
-def _is_old(candidates: list[Pair], at: PlanningContext) -> bool:
-    """Whether too much is placed before it is told for all engines to be compared."""
-    if at.rng is None or not at.policy.varies_choices:
+def _is_view_stale(candidates: list[Pair], context: PlanningContext) -> bool:
+    """Check whether too many prompts are placed unreported to compare all engines."""
+    if context.rng is None or not context.policy.varies_choices:
         return False
-    placed = sum(count_recent_prefills(engine, at.now) for _, engine in candidates)
+    prefills = sum(
+        count_recent_prefills(engine, context.now) for _, engine in candidates
+    )
     return (
-        placed / RECENT_WINDOW_S * at.age_s / len(candidates) > MAX_UNREPORTED_PREFILLS
+        prefills / RECENT_WINDOW_S * context.age_s / len(candidates)
+        > MAX_UNREPORTED_PREFILLS
     )
 
 
-def _find_move(
-    candidates: list[Pair], prompt: Prompt, at: PlanningContext
+def _find_transfer(
+    candidates: list[Pair], prompt: Prompt, context: PlanningContext
 ) -> CacheTransfer | None:
-    if at.token_transfer_s is None or not at.policy.fetches_parts:
+    if context.token_transfer_s is None or not context.policy.fetches_parts:
         return None
-    return find_cache_transfer(candidates, prompt, at.token_transfer_s, at.now)
+    return find_cache_transfer(
+        candidates, prompt, context.token_transfer_s, context.now
+    )
 
 
 def _list_plans(
-    readable: list[Pair],
-    generating: list[Pair],
+    prefill_candidates: list[Pair],
+    decode_pairs: list[Pair],
     prompt: Prompt,
-    at: PlanningContext,
-    move: CacheTransfer | None,
+    context: PlanningContext,
+    transfer: CacheTransfer | None,
     is_late: bool = False,
 ) -> list[RequestPlan]:
     """List the plans for a prompt whose answer is short.
 
-    An engine that generates reads it only where answers beside it may pause that long,
-    unless there is no plan at all then.
+    A decode engine prefills it only if the answers beside it may pause for that long,
+    unless there would be no plan at all.
 
     Args:
-        readable: The engines that may read it.
-        generating: All engines that may generate its answer, at least one.
+        prefill_candidates: The engines that may prefill it.
+        decode_pairs: All engines that may generate its answer, at least one.
         prompt: The prompt.
-        at: What else it depends on.
-        move: From where parts may be fetched.
-        is_late: Whether it can't be in time.
+        context: What else the plans depend on.
+        transfer: The cache from which parts may be fetched.
+        is_late: Whether the request misses its deadline.
     """
-    hosts = [pair for pair in readable if not pair[1].prefill_only]
-    readers = [pair for pair in readable if pair[1].prefill_only]
-    local = [_plan_local(pair, prompt, at, move, is_late) for pair in hosts]
+    local_pairs = [pair for pair in prefill_candidates if not pair[1].prefill_only]
+    prefill_pairs = [pair for pair in prefill_candidates if pair[1].prefill_only]
+    local_plans = [
+        _plan_local_prefill(pair, prompt, context, transfer, is_late)
+        for pair in local_pairs
+    ]
     plans = [
         plan
-        for plan, (_, engine) in zip(local, hosts, strict=True)
-        if _may_read_there(engine, plan, at)
+        for plan, (_, engine) in zip(local_plans, local_pairs, strict=True)
+        if _may_prefill_there(engine, plan, context)
     ]
-    if readers:
-        host = min(generating, key=lambda pair: _weigh_host(pair, at))
+    if prefill_pairs:
+        decode_pair = min(
+            decode_pairs, key=lambda pair: _estimate_decode_cost_s(pair, context)
+        )
         plans += [
-            _plan_apart(pair, host, prompt, at, move, is_late) for pair in readers
+            _plan_remote_prefill(pair, decode_pair, prompt, context, transfer, is_late)
+            for pair in prefill_pairs
         ]
-    # All that there is may be engines that had better not read.
-    return plans or (local if len(hosts) == len(generating) else [])
+    # If there are only decode engines, one of them has to prefill the prompt.
+    return plans or (local_plans if len(local_pairs) == len(decode_pairs) else [])
 
 
-def _may_read_there(engine: Engine, plan: RequestPlan, at: PlanningContext) -> bool:
-    """Whether the answers that an engine generates bear a reading beside them."""
-    has_pauses = engine.long_answers > 0 or at.has_pause_sensitive
-    if not has_pauses or not at.policy.limits_reading:
+def _may_prefill_there(
+    engine: Engine, plan: RequestPlan, context: PlanningContext
+) -> bool:
+    """Check whether the answers of an engine allow a prefill beside them."""
+    has_pauses = engine.long_answers > 0 or context.has_pause_sensitive
+    if not has_pauses or not context.policy.limits_reading:
         return True
-    return may_prefill_beside(engine, at.now, plan.prefill_s, at.gap_s)
+    return may_prefill_beside(engine, context.now, plan.prefill_s, context.gap_s)
 
 
-def _draw_spread(at: PlanningContext) -> float:
-    """Draw what a plan counts for besides its cost, seconds.
+def _draw_jitter_s(context: PlanningContext) -> float:
+    """Draw a random addition to the cost of a plan, seconds.
 
-    Entries that know the same, and all of it late, would all choose the same engine
-    until they hear of one another.
+    Gateways with the same stale state would otherwise all choose the same engine until
+    they receive each other's reports.
     """
-    if at.rng is None or not at.policy.varies_choices:
+    if context.rng is None or not context.policy.varies_choices:
         return 0.0
-    return at.rng.random() * at.age_s * SPREAD_SHARE
+    return context.rng.random() * context.age_s * COST_JITTER_SHARE
 
 
-def _plan_local(
+def _plan_local_prefill(
     pair: Pair,
     prompt: Prompt,
-    at: PlanningContext,
-    move: CacheTransfer | None,
+    context: PlanningContext,
+    transfer: CacheTransfer | None,
     is_late: bool = False,
 ) -> RequestPlan:
-    """Plan to read a prompt where its answer is generated."""
+    """Plan to prefill a prompt on its decode engine."""
     target, engine = pair
-    reading = estimate_prefill(pair, prompt, at.now, move)
-    after_s = estimate_target_cost_s(target, at.zone) + at.slot_wait_s
-    slowness = find_event_slowdown(engine, at.now, at.fastest_s)
-    spread_s = count_requests(pair) * SLOT_S * slowness
-    return _make_plan(target, None, engine, reading, after_s, spread_s, at, is_late)
+    estimate = estimate_prefill(pair, prompt, context.now, transfer)
+    delay_s = estimate_target_cost_s(target, context.zone) + context.slot_wait_s
+    slowdown = find_event_slowdown(engine, context.now, context.fastest_s)
+    decode_cost_s = count_requests(pair) * REQUEST_COST_S * slowdown
+    return _make_plan(
+        target, None, engine, estimate, delay_s, decode_cost_s, context, is_late
+    )
 
 
-def _plan_apart(
+def _plan_remote_prefill(
     pair: Pair,
-    host: Pair,
+    decode_pair: Pair,
     prompt: Prompt,
-    at: PlanningContext,
-    move: CacheTransfer | None,
+    context: PlanningContext,
+    transfer: CacheTransfer | None,
     is_late: bool = False,
 ) -> RequestPlan:
-    """Plan to read a prompt at one engine and to generate its answer at the host."""
+    """Plan to prefill a prompt on one engine and to decode its answer on another."""
     reader, engine = pair
-    reading = estimate_prefill(pair, prompt, at.now, move)
-    handoff_s = at.late_handoff_s if is_late else at.handoff_s
-    after_s = estimate_target_cost_s(reader, at.zone) + max(handoff_s, at.slot_wait_s)
-    # The host reads other prompts meanwhile, but lets a fetched one in between.
-    spread_s = min(_weigh_host(host, at), MOST_END_S)
-    return _make_plan(host[0], reader, engine, reading, after_s, spread_s, at, is_late)
+    estimate = estimate_prefill(pair, prompt, context.now, transfer)
+    handoff_s = context.late_handoff_s if is_late else context.handoff_s
+    delay_s = estimate_target_cost_s(reader, context.zone) + max(
+        handoff_s, context.slot_wait_s
+    )
+    # The decode engine prefills other prompts meanwhile, but starts a fetched one
+    # between two of them.
+    decode_cost_s = min(
+        _estimate_decode_cost_s(decode_pair, context), MAX_DECODE_COST_S
+    )
+    return _make_plan(
+        decode_pair[0],
+        reader,
+        engine,
+        estimate,
+        delay_s,
+        decode_cost_s,
+        context,
+        is_late,
+    )
 
 
-def _weigh_host(pair: Pair, at: PlanningContext) -> float:
-    slowness = find_event_slowdown(pair[1], at.now, at.fastest_s)
-    return estimate_decode_cost_s(pair, at.zone, slowness)
+def _estimate_decode_cost_s(pair: Pair, context: PlanningContext) -> float:
+    slowdown = find_event_slowdown(pair[1], context.now, context.fastest_s)
+    return estimate_decode_cost_s(pair, context.zone, slowdown)
 
 
 def _make_plan(
     target: Target,
     reader: Target | None,
     engine: Engine,
-    reading: PrefillEstimate,
-    after_s: float,
-    spread_s: float,
-    at: PlanningContext,
+    estimate: PrefillEstimate,
+    delay_s: float,
+    decode_cost_s: float,
+    context: PlanningContext,
     is_late: bool,
 ) -> RequestPlan:
-    """Make a plan of which all but the level and the wait is known.
+    """Make a plan, given everything except the priority level and the wait.
 
     Args:
-        target: Where the answer is generated.
-        reader: Where the prompt is read apart; None for at the target.
-        engine: The engine that reads.
-        reading: How it reads.
-        after_s: What comes after the reading, seconds.
-        spread_s: What the host's requests count for, seconds.
-        at: What else the plan depends on.
-        is_late: Whether it can't be in time.
+        target: The target that generates the answer.
+        reader: The target that prefills the prompt; None for `target`.
+        engine: The engine that prefills it.
+        estimate: The estimate of the prefill.
+        delay_s: Time from the end of the prefill to the first event, seconds.
+        decode_cost_s: Cost of the requests at the decode engine, seconds.
+        context: What else the plan depends on.
+        is_late: Whether the request misses its deadline.
     """
-    follows_ranks = at.policy.follows_ranks
+    follows_ranks = context.policy.follows_ranks
     level = find_priority_level(
-        reading.prefill_s, at.latency_objective_s, at.rank, follows_ranks
+        estimate.prefill_s, context.latency_objective_s, context.rank, follows_ranks
     )
-    if level == SHORT_LEVEL and at.is_long:
-        # Its reading holds nobody up, its answer does: it would take the slots of
-        # prompts that were read and whose answers are short.
-        level = find_rank_level(at.rank)
+    if level == SHORT_LEVEL and context.is_long:
+        # Its prefill delays no other request, but its answer does: it would occupy
+        # slots that prefilled prompts with short answers are waiting for.
+        level = find_rank_level(context.rank)
     level = LATE_LEVEL if is_late else level
-    wait_s = estimate_wait(engine, level, at.now)
-    first_event_s = wait_s + reading.seconds + after_s
-    # What waits behind it counts like what it waits for itself.
-    behind_s = (
-        sum_backlog_s(engine, LATE_LEVEL - 1) if at.policy.counts_held_up else 0.0
+    wait_s = estimate_wait(engine, level, context.now)
+    first_event_s = wait_s + estimate.seconds + delay_s
+    # Prompts queued behind it add to the cost like those that it waits for.
+    queued_behind_s = (
+        sum_backlog_s(engine, LATE_LEVEL - 1) if context.policy.counts_held_up else 0.0
     )
-    held_up_s = max(wait_s, behind_s)
+    queue_cost_s = max(wait_s, queued_behind_s)
     return RequestPlan(
         target=target,
         reader=reader,
-        uncached_tokens=reading.uncached_tokens,
-        prefill_s=reading.prefill_s,
+        uncached_tokens=estimate.uncached_tokens,
+        prefill_s=estimate.prefill_s,
         wait_s=wait_s,
         first_event_s=first_event_s,
-        cost_s=first_event_s - wait_s + held_up_s + spread_s + reading.penalty_s,
-        missing_share=reading.missing_share,
-        holder=reading.holder,
-        fetch_s=reading.fetch_s,
+        cost_s=first_event_s
+        - wait_s
+        + queue_cost_s
+        + decode_cost_s
+        + estimate.penalty_s,
+        missing_share=estimate.missing_share,
+        holder=estimate.holder,
+        fetch_s=estimate.fetch_s,
         level=level,
-        slot_wait_s=at.slot_wait_s,
+        slot_wait_s=context.slot_wait_s,
     )
--- a/tests/core/test_interference.py
+++ b/tests/core/test_interference.py
@@ -3,7 +3,7 @@
 from robinspindle.core.forwarding import Part, Prompt
 
 
-def test_beside_answers_an_engine_reads_only_a_share_of_their_pauses():
+def test_prefill_beside_answers_is_limited_to_a_share_of_their_pauses():
     engine = make_engine(False, 100_000)
     allowed_s = engines.SHORT_PREFILL_SHARE * 0.2
     assert interference.may_prefill_beside(engine, 0.0, allowed_s, 0.2)
@@ -17,18 +17,18 @@
     assert interference.may_prefill_beside(engine, 0.3, 0.01, 0.2)
 
 
-def test_an_answer_that_would_not_end_in_time_makes_pauses_count_sooner():
+def test_answer_at_risk_of_its_deadline_allows_shorter_pauses():
     prompt = Prompt("m", (Part("q", 200),), 200, 12_000, 5_900)
     allowed = interference.find_allowed_pause
     assert allowed(prompt, 0, 59, 15.0, 0.15) == 0.15
     assert allowed(prompt, 0, 59, 5.0, 0.15) == 0.05
     assert allowed(prompt, 50, 59, 2.5, 0.15) == 0.05
-    # Beyond its guess it is believed to last a quarter of what it has.
+    # Beyond its guess, it is assumed to last a quarter of its length so far.
     assert allowed(prompt, 200, 59, 2.5, 0.15) == 0.05
     assert allowed(prompt, 200, 59, -1.0, 0.15) == 0.0
 
 
-def test_late_events_make_an_engine_read_less_and_good_ones_more():
+def test_late_events_lower_the_prefill_share_and_timely_ones_raise_it():
     engine = make_engine(False, 100_000)
     before = engine.prefill_share
     interference.note_long_pause(engine, 0.14, 0.15)
@@ -41,8 +41,12 @@
     assert engine.prefill_share == interference.PREFILL_SHARE_BOUNDS[0]
 
 
-def test_what_is_read_beside_short_answers_follows_their_pauses():
-    """Of answers 0.20 paused with a fixed share at the usual load, 0.12 with this."""
+def test_prefill_beside_short_answers_follows_their_pauses():
+    """Guards against a fixed prefill share, with which more short answers pause.
+
+    At the usual load, 0.20 of the answers paused with a fixed share and 0.12 with one
+    that follows the pauses.
+    """
     engine = make_engine(False, 100_000)
     assert interference.may_prefill_beside(engine, 1.0, 0.08, 0.15)
     interference.note_short_pause(engine, 0.14, 0.15)
@@ -54,14 +58,17 @@
     assert engine.short_prefill_share == engines.SHORT_PREFILL_SHARE
 
 
-def test_an_engine_whose_answers_get_no_event_reads_nothing_beside_them():
-    """A pause is seen when it ends: an engine three times as slow as believed read
-    without end, and its answers never got another event."""
+def test_engine_whose_answers_get_no_event_does_not_prefill():
+    """Guards against endless prefill on an engine whose answers have stopped.
+
+    A completed pause is recorded only when it ends: an engine three times as slow as
+    estimated prefilled without end, and its answers never received another event.
+    """
     engine = make_engine(False, 100_000)
     interference.note_answer_begun(engine, 1.0)
     assert interference.may_prefill_beside(engine, 1.05, 0.01, 0.15)
     assert not interference.may_prefill_beside(engine, 1.2, 0.01, 0.15)
-    # One more that begins does not hide that the first gets nothing.
+    # A second answer that begins does not hide that the first gets no event.
     interference.note_answer_begun(engine, 1.19)
     assert not interference.may_prefill_beside(engine, 1.2, 0.01, 0.15)
     interference.note_answer_event(engine, 1.2)
--- a/tests/core/test_prefillplacement.py
+++ b/tests/core/test_prefillplacement.py
@@ -9,29 +9,29 @@
 from robinspindle.core.priorities import LATE_LEVEL, SHORT_LEVEL, find_rank_level
 from robinspindle.core.targets import Announcement, Target
 
-HEAD, DOCUMENT, OWN = Part("h", 2500), Part("d", 3800), Part("o", 2900)
-DIGEST = Prompt("m", (HEAD, DOCUMENT, OWN), 9200, 118)
-CHAT = Prompt("m", (Part("c", 80), Part("q", 140)), 220, 5000)
-CALM = PlanningContext(0.0, 0.2, 0.2, 0.15, "a")
-PATIENCE_S = 2.0
-LONG = dataclasses.replace(CALM, is_long=True)
-LINKED = dataclasses.replace(CALM, token_transfer_s=1.2e-7)
+SYSTEM_PART, DOCUMENT_PART, OWN_PART = Part("h", 2500), Part("d", 3800), Part("o", 2900)
+DIGEST_PROMPT = Prompt("m", (SYSTEM_PART, DOCUMENT_PART, OWN_PART), 9200, 118)
+CHAT_PROMPT = Prompt("m", (Part("c", 80), Part("q", 140)), 220, 5000)
+CONTEXT = PlanningContext(0.0, 0.2, 0.2, 0.15, "a")
+CALLER_TIMEOUT_S = 2.0
+LONG_CONTEXT = dataclasses.replace(CONTEXT, is_long=True)
+TRANSFER_CONTEXT = dataclasses.replace(CONTEXT, token_transfer_s=1.2e-7)
 
 
-PACES = {
+PREFILL_MODELS = {
     "prefill": PrefillModel((0.0, 0.004, 0.0)),
     "decode": PrefillModel((0.0, 0.01, 0.0)),
 }
-"""Engines that read 250,000 and 100,000 tokens a second."""
+"""Prefill models of 250,000 and 100,000 tokens a second."""
 
 
 def make_pair(lifetime, role, zone="a"):
     announced = Announcement(lifetime, "s", f"{lifetime}:1", zone, 48, role=role)
-    engine = make_engine(role == "prefill", 300_000, PACES[role])
+    engine = make_engine(role == "prefill", 300_000, PREFILL_MODELS[role])
     return Target(announced), engine
 
 
-def make_fleet():
+def make_pairs():
     return [make_pair(f"p{n}", "prefill") for n in (1, 2)] + [
         make_pair(f"d{n}", "decode") for n in (1, 2, 3)
     ]
@@ -41,240 +41,264 @@
     return target.announced.lifetime if target else ""
 
 
-def test_an_uncached_prompt_is_read_where_reading_is_fast():
-    plan = choose_plan(make_fleet(), DIGEST, CALM)
+def test_uncached_prompt_is_prefilled_on_a_prefill_engine():
+    plan = choose_plan(make_pairs(), DIGEST_PROMPT, CONTEXT)
     assert name(plan.reader).startswith("p")
     assert name(plan.target).startswith("d")
 
 
-def test_a_prompt_goes_to_the_engine_that_has_read_its_document():
-    fleet = make_fleet()
-    engines.note_placed(fleet[1][1], DIGEST.parts[:2])
-    plan = choose_plan(fleet, DIGEST, CALM)
+def test_prompt_goes_to_the_engine_that_has_cached_its_document():
+    pairs = make_pairs()
+    engines.note_placed(pairs[1][1], DIGEST_PROMPT.parts[:2])
+    plan = choose_plan(pairs, DIGEST_PROMPT, CONTEXT)
     assert (name(plan.reader), plan.uncached_tokens) == ("p2", 2900)
 
 
-def test_it_goes_elsewhere_when_it_would_be_late_there():
-    fleet = make_fleet()
-    engines.note_placed(fleet[1][1], DIGEST.parts[:2])
-    fleet[1][1].own_backlog_s[1] = 0.3
-    assert name(choose_plan(fleet, DIGEST, CALM).reader) != "p2"
+def test_prompt_leaves_the_cached_engine_if_it_would_miss_its_deadline():
+    pairs = make_pairs()
+    engines.note_placed(pairs[1][1], DIGEST_PROMPT.parts[:2])
+    pairs[1][1].own_backlog_s[1] = 0.3
+    assert name(choose_plan(pairs, DIGEST_PROMPT, CONTEXT).reader) != "p2"
 
 
-def test_a_generating_engine_reads_what_it_has_read_before():
-    fleet = make_fleet()
-    engines.note_placed(fleet[3][1], DIGEST.parts[:2])
-    plan = choose_plan(fleet, DIGEST, CALM)
+def test_decode_engine_prefills_a_prompt_that_it_has_cached():
+    pairs = make_pairs()
+    engines.note_placed(pairs[3][1], DIGEST_PROMPT.parts[:2])
+    plan = choose_plan(pairs, DIGEST_PROMPT, CONTEXT)
     assert (name(plan.reader), name(plan.target)) == ("", "d2")
 
 
-def test_it_does_not_while_long_answers_would_pause():
-    fleet = make_fleet()
-    engine = fleet[3][1]
-    engines.note_placed(engine, DIGEST.parts[:2])
+def test_decode_engine_does_not_prefill_if_long_answers_would_pause():
+    pairs = make_pairs()
+    engine = pairs[3][1]
+    engines.note_placed(engine, DIGEST_PROMPT.parts[:2])
     engine.own_long_answers = 4
     engine.prefill_share = 0.15
-    assert choose_plan(fleet, DIGEST, CALM).reader is not None
+    assert choose_plan(pairs, DIGEST_PROMPT, CONTEXT).reader is not None
 
 
-def test_long_answers_come_together_until_an_engine_has_its_share():
-    fleet = make_fleet()
-    fleet[3][1].own_long_answers = 3
-    assert name(choose_plan(fleet, CHAT, LONG).target) == "d2"
-    fleet[3][1].own_long_answers = 20
-    assert name(choose_plan(fleet, CHAT, LONG).target) != "d2"
+def test_long_answers_are_concentrated_up_to_a_share_of_the_slots():
+    pairs = make_pairs()
+    pairs[3][1].own_long_answers = 3
+    assert name(choose_plan(pairs, CHAT_PROMPT, LONG_CONTEXT).target) == "d2"
+    pairs[3][1].own_long_answers = 20
+    assert name(choose_plan(pairs, CHAT_PROMPT, LONG_CONTEXT).target) != "d2"
 
 
-def test_without_an_engine_that_reads_only_prompts_are_read_where_answered():
-    fleet = make_fleet()[2:]
-    assert choose_plan(fleet, DIGEST, CALM).reader is None
+def test_without_prefill_engines_decode_engines_prefill():
+    pairs = make_pairs()[2:]
+    assert choose_plan(pairs, DIGEST_PROMPT, CONTEXT).reader is None
 
 
-def test_without_an_engine_that_generates_there_is_no_plan():
-    assert choose_plan(make_fleet()[:2], DIGEST, CALM) is None
+def test_without_decode_engines_there_is_no_plan():
+    assert choose_plan(make_pairs()[:2], DIGEST_PROMPT, CONTEXT) is None
 
 
-def test_a_zone_of_ones_own_is_preferred_among_equals():
-    fleet = [make_pair("p1", "prefill", "b"), make_pair("p2", "prefill")]
-    fleet += [make_pair("d1", "decode", "b"), make_pair("d2", "decode")]
-    plan = choose_plan(fleet, DIGEST, CALM)
+def test_own_zone_is_preferred_among_equal_engines():
+    pairs = [make_pair("p1", "prefill", "b"), make_pair("p2", "prefill")]
+    pairs += [make_pair("d1", "decode", "b"), make_pair("d2", "decode")]
+    plan = choose_plan(pairs, DIGEST_PROMPT, CONTEXT)
     assert (name(plan.reader), name(plan.target)) == ("p2", "d2")
 
 
-def test_a_failing_engine_is_avoided():
-    fleet = make_fleet()
-    fleet[0][0].faults = 0.9
-    assert name(choose_plan(fleet, DIGEST, CALM).reader) == "p2"
+def test_failing_engine_is_avoided():
+    pairs = make_pairs()
+    pairs[0][0].faults = 0.9
+    assert name(choose_plan(pairs, DIGEST_PROMPT, CONTEXT).reader) == "p2"
 
 
 def plan_behind(wait_s, held=()):
-    fleet = [make_pair("p1", "prefill"), make_pair("d1", "decode")]
-    for _, engine in fleet:
+    pairs = [make_pair("p1", "prefill"), make_pair("d1", "decode")]
+    for _, engine in pairs:
         engine.own_backlog_s[1] = wait_s
         engines.note_placed(engine, held)
-    return choose_plan(fleet, DIGEST, CALM)
+    return choose_plan(pairs, DIGEST_PROMPT, CONTEXT)
 
 
-def test_what_can_be_in_time_waits_for_nothing_that_is_late():
-    fleet = [make_pair("p1", "prefill"), make_pair("d1", "decode")]
-    for _, engine in fleet:
+def test_request_in_time_does_not_wait_for_late_requests():
+    pairs = [make_pair("p1", "prefill"), make_pair("d1", "decode")]
+    for _, engine in pairs:
         engine.own_backlog_s[LATE_LEVEL] = 5.0
-    plan = choose_plan(fleet, DIGEST, CALM)
+    plan = choose_plan(pairs, DIGEST_PROMPT, CONTEXT)
     assert plan.level < LATE_LEVEL
     assert plan.first_event_s < 0.1
 
 
-def test_what_can_not_be_in_time_goes_after_all_that_can():
+def test_late_request_gets_the_late_level():
     plan = plan_behind(0.5)
     assert plan.level == LATE_LEVEL
     assert plan.wait_s >= 0.5
-    assert not prefillplacement.should_refuse(plan, PATIENCE_S)
+    assert not prefillplacement.should_refuse(plan, CALLER_TIMEOUT_S)
 
 
-def test_what_would_begin_after_its_caller_gave_up_is_hopeless():
-    assert prefillplacement.should_refuse(plan_behind(1.7), PATIENCE_S)
-    assert not prefillplacement.should_refuse(plan_behind(1.4), PATIENCE_S)
+def test_request_that_begins_after_the_caller_timeout_is_refused():
+    assert prefillplacement.should_refuse(plan_behind(1.7), CALLER_TIMEOUT_S)
+    assert not prefillplacement.should_refuse(plan_behind(1.4), CALLER_TIMEOUT_S)
     assert prefillplacement.should_refuse(plan_behind(0.5), 0.5)
 
 
-def test_length_alone_makes_nothing_hopeless():
+def test_long_prompt_alone_is_no_reason_to_refuse():
     long_prompt = Prompt("m", (Part("l", 90_000),), 90_000, 118)
-    plan = choose_plan(make_fleet(), long_prompt, CALM)
+    plan = choose_plan(make_pairs(), long_prompt, CONTEXT)
     assert plan.first_event_s > 0.2
-    assert not prefillplacement.should_refuse(plan, PATIENCE_S)
+    assert not prefillplacement.should_refuse(plan, CALLER_TIMEOUT_S)
 
 
-def test_the_operators_ranks_go_before_each_other():
-    first, second = (dataclasses.replace(CALM, rank=rank) for rank in (0, 2))
-    fleet = [make_pair("p1", "prefill"), make_pair("d1", "decode")]
-    for _, engine in fleet:
+def test_higher_rank_waits_only_for_its_own_level():
+    first, second = (dataclasses.replace(CONTEXT, rank=rank) for rank in (0, 2))
+    pairs = [make_pair("p1", "prefill"), make_pair("d1", "decode")]
+    for _, engine in pairs:
         engine.own_backlog_s[3] = 0.05
-    plan, other = (choose_plan(fleet, DIGEST, at) for at in (first, second))
+    plan, other = (
+        choose_plan(pairs, DIGEST_PROMPT, context) for context in (first, second)
+    )
     assert plan.level < other.level
     assert plan.wait_s == 0.0
     assert other.wait_s == 0.05
 
 
-def test_what_another_engine_has_read_is_fetched_from_it():
-    fleet = make_fleet()
-    engines.note_placed(fleet[3][1], DIGEST.parts[:2])
-    for _, engine in fleet[2:]:
+def test_cached_parts_are_fetched_from_another_engine():
+    pairs = make_pairs()
+    engines.note_placed(pairs[3][1], DIGEST_PROMPT.parts[:2])
+    for _, engine in pairs[2:]:
         engine.own_long_answers = 4
         engine.prefill_share = 0.05
-    plan = choose_plan(fleet, DIGEST, LINKED)
+    plan = choose_plan(pairs, DIGEST_PROMPT, TRANSFER_CONTEXT)
     assert name(plan.reader).startswith("p")
     assert (name(plan.holder), plan.uncached_tokens) == ("d2", 2900)
 
 
-def test_nothing_is_fetched_over_a_link_that_is_slower_than_reading():
-    fleet = make_fleet()
-    engines.note_placed(fleet[3][1], DIGEST.parts[:2])
-    fleet[3][1].own_long_answers = 4
-    fleet[3][1].prefill_share = 0.05
-    slow = dataclasses.replace(LINKED, token_transfer_s=1e-5)
-    plan = choose_plan(fleet, DIGEST, slow)
+def test_nothing_is_fetched_if_the_transfer_is_slower_than_prefill():
+    pairs = make_pairs()
+    engines.note_placed(pairs[3][1], DIGEST_PROMPT.parts[:2])
+    pairs[3][1].own_long_answers = 4
+    pairs[3][1].prefill_share = 0.05
+    slow = dataclasses.replace(TRANSFER_CONTEXT, token_transfer_s=1e-5)
+    plan = choose_plan(pairs, DIGEST_PROMPT, slow)
     assert (plan.holder, plan.uncached_tokens) == (None, 9200)
 
 
-def test_nothing_is_fetched_where_links_are_not_known():
-    fleet = make_fleet()
-    engines.note_placed(fleet[3][1], DIGEST.parts[:2])
-    assert choose_plan(fleet, DIGEST, CALM).holder is None
+def test_nothing_is_fetched_if_the_transfer_time_is_unknown():
+    pairs = make_pairs()
+    engines.note_placed(pairs[3][1], DIGEST_PROMPT.parts[:2])
+    assert choose_plan(pairs, DIGEST_PROMPT, CONTEXT).holder is None
 
 
-def test_an_engine_that_has_read_a_prompt_goes_before_one_that_would_fetch_it():
-    fleet = make_fleet()
-    engines.note_placed(fleet[1][1], DIGEST.parts[:2])
-    plan = choose_plan(fleet, DIGEST, LINKED)
+def test_engine_with_cached_parts_is_preferred_to_a_fetch():
+    pairs = make_pairs()
+    engines.note_placed(pairs[1][1], DIGEST_PROMPT.parts[:2])
+    plan = choose_plan(pairs, DIGEST_PROMPT, TRANSFER_CONTEXT)
     assert (name(plan.reader), plan.holder) == ("p2", None)
 
 
-def test_entries_that_know_the_same_do_not_all_choose_the_same_engine():
-    fleet = make_fleet()
-    fleet[0][1].own_backlog_s[1] = 0.004
-    stale = dataclasses.replace(CALM, age_s=0.1, rng=random.Random(1))
-    found = [name(choose_plan(fleet, DIGEST, stale).reader) for _ in range(40)]
+def test_stale_state_spreads_choices_over_engines():
+    pairs = make_pairs()
+    pairs[0][1].own_backlog_s[1] = 0.004
+    stale = dataclasses.replace(CONTEXT, age_s=0.1, rng=random.Random(1))
+    found = [name(choose_plan(pairs, DIGEST_PROMPT, stale).reader) for _ in range(40)]
     assert 10 < found.count("p2") < 40
-    fresh = dataclasses.replace(CALM, age_s=0.001, rng=random.Random(1))
-    found = [name(choose_plan(fleet, DIGEST, fresh).reader) for _ in range(40)]
+    fresh = dataclasses.replace(CONTEXT, age_s=0.001, rng=random.Random(1))
+    found = [name(choose_plan(pairs, DIGEST_PROMPT, fresh).reader) for _ in range(40)]
     assert found.count("p2") == 40
 
 
-def test_an_engine_that_is_slow_from_its_start_reads_later():
-    fleet = [make_pair("p1", "prefill"), make_pair("p2", "prefill")]
-    fleet.append(make_pair("d1", "decode"))
-    fleet[0][0].cold_until = 1.0
-    assert name(choose_plan(fleet, DIGEST, CALM).reader) == "p2"
-    later = dataclasses.replace(CALM, now=1.0)
-    assert name(choose_plan(fleet, DIGEST, later).reader) == "p1"
+def test_engine_in_its_slow_start_is_avoided():
+    pairs = [make_pair("p1", "prefill"), make_pair("p2", "prefill")]
+    pairs.append(make_pair("d1", "decode"))
+    pairs[0][0].cold_until = 1.0
+    assert name(choose_plan(pairs, DIGEST_PROMPT, CONTEXT).reader) == "p2"
+    later = dataclasses.replace(CONTEXT, now=1.0)
+    assert name(choose_plan(pairs, DIGEST_PROMPT, later).reader) == "p1"
 
 
-def test_beside_answers_without_pauses_an_engine_reads_what_is_cheapest():
-    fleet = make_fleet()[2:4]
-    for _, engine in fleet:
+def test_cheapest_engine_prefills_if_no_answers_are_sensitive_to_pauses():
+    pairs = make_pairs()[2:4]
+    for _, engine in pairs:
         engines.note_prefill_start(engine, 0.0, 0.08, 1)
-    engines.note_placed(fleet[0][1], DIGEST.parts[:2])
-    held = dataclasses.replace(CALM, has_pause_sensitive=False)
-    assert name(choose_plan(fleet, DIGEST, held).target) == "d1"
+    engines.note_placed(pairs[0][1], DIGEST_PROMPT.parts[:2])
+    held = dataclasses.replace(CONTEXT, has_pause_sensitive=False)
+    assert name(choose_plan(pairs, DIGEST_PROMPT, held).target) == "d1"
+
 
+def test_long_answer_that_begins_after_the_caller_timeout_is_refused():
+    """Guards against prompts that wait until their callers time out.
 
-def test_a_long_answer_that_would_begin_too_late_is_hopeless_too():
-    """77 of 88 prompts waited 2.6 s in vain, planned to begin after 5 to 31 s."""
-    fleet = [make_pair("d1", "decode")]
-    fleet[0][1].own_backlog_s[0] = 3.0
-    plan = choose_plan(fleet, CHAT, LONG)
+    77 of 88 prompts waited for 2.6 s in vain: they were planned to begin after 5 to 31
+    s.
+    """
+    pairs = [make_pair("d1", "decode")]
+    pairs[0][1].own_backlog_s[0] = 3.0
+    plan = choose_plan(pairs, CHAT_PROMPT, LONG_CONTEXT)
     assert plan.level < LATE_LEVEL
-    assert prefillplacement.should_refuse(plan, PATIENCE_S)
+    assert prefillplacement.should_refuse(plan, CALLER_TIMEOUT_S)
     assert not prefillplacement.should_refuse(plan, 60.0)
 
 
-def test_the_prompt_of_a_long_answer_is_read_apart_where_its_host_can_not_bear_it():
-    """Read at the host in any case: 0.15 in time at four times the load, else 0.24."""
-    fleet = make_fleet()
-    for _, engine in fleet[2:]:
+def test_prompt_of_a_long_answer_is_prefilled_elsewhere_if_answers_would_pause():
+    """Guards against prefill that slows the long answers of a decode engine.
+
+    At four times the load, 0.15 of the requests met their deadline if the decode engine
+    prefilled every such prompt, otherwise 0.24.
+    """
+    pairs = make_pairs()
+    for _, engine in pairs[2:]:
         engine.own_long_answers = 4
         engine.prefill_share = 0.05
-    plan = choose_plan(fleet, DIGEST, LONG)
+    plan = choose_plan(pairs, DIGEST_PROMPT, LONG_CONTEXT)
     assert name(plan.reader).startswith("p")
-    assert choose_plan(fleet, CHAT, LONG).reader is None
-    assert choose_plan(fleet[2:], DIGEST, LONG).reader is None
+    assert choose_plan(pairs, CHAT_PROMPT, LONG_CONTEXT).reader is None
+    assert choose_plan(pairs[2:], DIGEST_PROMPT, LONG_CONTEXT).reader is None
 
 
-def test_a_long_answer_with_a_short_prompt_goes_by_its_rank():
-    """Short readings hold nobody up, long answers do: they hold their places for
-    seconds. Sent before all others, notes with prompts of 200 tokens took the places of
-    prompts that had been read, of which a tenth began 0.25 s later or never."""
-    short = choose_plan(make_fleet(), CHAT, dataclasses.replace(CALM, rank=1))
-    long = choose_plan(make_fleet(), CHAT, dataclasses.replace(LONG, rank=1))
+def test_long_answer_with_a_short_prompt_gets_the_level_of_its_rank():
+    """Guards against long answers that take the slots of prefilled prompts.
+
+    A short prefill delays no other request, but a long answer holds its slot for
+    seconds. When notes with prompts of 200 tokens went before all others, a tenth of
+    the prefilled prompts began 0.25 s later or never.
+    """
+    short = choose_plan(make_pairs(), CHAT_PROMPT, dataclasses.replace(CONTEXT, rank=1))
+    long = choose_plan(
+        make_pairs(), CHAT_PROMPT, dataclasses.replace(LONG_CONTEXT, rank=1)
+    )
     assert short.level == SHORT_LEVEL
     assert long.level == find_rank_level(1)
-    # It is still read where it is answered.
+    # The decode engine still prefills its prompt.
     assert long.reader is None
 
 
-def test_a_long_answer_is_refused_where_it_would_be_one_too_many():
-    """Let in beside as many as an engine bears, it makes the longest there miss their
-    limits. Not where answers of its length are due a turn."""
-    fleet = make_fleet()
-    for _, engine in fleet[2:]:
+def test_long_answer_is_refused_if_no_engine_has_capacity():
+    """Guards against long answers that make the longest ones miss their limits.
+
+    A long answer beyond the capacity of its engine slows the others there. It is still
+    sent if answers of its length are underserved.
+    """
+    pairs = make_pairs()
+    for _, engine in pairs[2:]:
         interference.note_event(engine, 10.0, 0.075)
-    at = dataclasses.replace(
-        LONG, now=10.0, max_event_s=0.1, longest_answer_event_s=15.0 / 214
+    context = dataclasses.replace(
+        LONG_CONTEXT, now=10.0, max_event_s=0.1, longest_answer_event_s=15.0 / 214
+    )
+    assert prefillplacement.should_refuse(
+        choose_plan(pairs, CHAT_PROMPT, context), 15.0
+    )
+    due = dataclasses.replace(context, is_answer_underserved=True)
+    assert not prefillplacement.should_refuse(
+        choose_plan(pairs, CHAT_PROMPT, due), 15.0
+    )
+    later = dataclasses.replace(context, now=10.0 + interference.EVENT_MAX_AGE_S + 0.1)
+    assert not prefillplacement.should_refuse(
+        choose_plan(pairs, CHAT_PROMPT, later), 15.0
     )
-    assert prefillplacement.should_refuse(choose_plan(fleet, CHAT, at), 15.0)
-    due = dataclasses.replace(at, is_answer_underserved=True)
-    assert not prefillplacement.should_refuse(choose_plan(fleet, CHAT, due), 15.0)
-    later = dataclasses.replace(at, now=10.0 + interference.EVENT_MAX_AGE_S + 0.1)
-    assert not prefillplacement.should_refuse(choose_plan(fleet, CHAT, later), 15.0)
 
 
-def test_a_long_answer_that_would_wait_too_long_for_a_place_is_refused():
-    fleet = make_fleet()
-    for target, engine in fleet[2:]:
+def test_long_answer_that_would_wait_too_long_for_a_slot_is_refused():
+    pairs = make_pairs()
+    for target, engine in pairs[2:]:
         target.in_flight = 58
         interference.note_slot_hold(engine, 4.8)
-    plan = choose_plan(fleet, CHAT, LONG)
+    plan = choose_plan(pairs, CHAT_PROMPT, LONG_CONTEXT)
     assert plan.slot_wait_s > 1.0
     assert prefillplacement.should_refuse(plan, 15.0, most_slot_wait_s=0.2)
-    # Who has come back already is let in, late.
+    # By default, as for a caller that has retried, it is sent even though it is late.
     assert not prefillplacement.should_refuse(plan, 15.0)
