--- a/src/robinspindle/core/forwarding.py
+++ b/src/robinspindle/core/forwarding.py
@@ -1,8 +1,8 @@
-"""Forwarding: what one request is, what a target said, and what to do about it.
+"""Types of a forwarded request and its answer, and rules for sending it again.
 
-A request goes to one target at a time. Whether it may go to another depends on what
-is certain about the first: "did not run" is only believed when the target said so or
-when nothing was sent.
+A request goes to one target at a time. Whether it may go to another one depends on what
+is certain about the first: it counts as not run only if the target said so or if
+nothing was sent.
 """
 
 import math
@@ -13,20 +13,23 @@
 Headers = tuple[tuple[bytes, bytes], ...]
 
 MIN_ATTEMPT_S = 0.01
-"""The shortest time worth giving a target, seconds: a few network round trips."""
+"""The shortest time for which it is worth sending a request, seconds: a few network
+round trips."""
 
 MAX_SENDS = 3
-"""The most times that one attempt is sent: full targets are seldom alone."""
+"""Maximum number of times that one attempt of a caller is sent: if a target is full,
+others usually are too."""
 
-LEAST_PATIENCE_S = 2.0
-PATIENCE_AIMS = 4.0
-PATIENCE_GAPS = 8.0
-"""Callers give a stream up after a silence of the longest of these: seconds, times its
-aim, times the pause that is in time; by the platform's page on requests."""
+MIN_STREAM_TIMEOUT_S = 2.0
+STREAM_TIMEOUT_OBJECTIVES = 4.0
+STREAM_TIMEOUT_GAPS = 8.0
+"""Callers abandon a stream after a silence of the longest of these: seconds, multiples
+of its latency objective, multiples of the allowed pause. The platform's documentation
+of requests defines these values."""
 
 TIMEOUT_ANSWER_GRACE_S = 0.1
-"""How long a target's own timeout answer is waited for, seconds: well under the
-quarter of a second after which holding a request is counted against us."""
+"""How long to wait for a target's own timeout response, seconds: well below the quarter
+of a second after which holding a request counts against the gateway."""
 
 
 @dataclass(frozen=True)
@@ -43,10 +46,11 @@
 
     Attributes:
         model: The model.
-        parts: Its parts in order; the last is the request's own.
+        parts: Its parts in order; the last one belongs to this request alone.
         tokens: Tokens of the whole prompt.
-        max_answer_tokens: The most tokens of the answer.
-        expected_answer_tokens: The caller's guess of its tokens; 0 where it gives none.
+        max_answer_tokens: Maximum tokens of the answer.
+        expected_answer_tokens: The caller's guess of the answer's tokens; 0 if not
+            given.
     """
 
     model: str
@@ -58,21 +62,21 @@
 
 @dataclass(frozen=True)
 class Request:
-    """One attempt of a caller, decoded.
+    """One decoded attempt of a caller.
 
     Attributes:
         id: The caller's id of this attempt.
         method: HTTP method.
         target: Path and query as sent.
         host: Host name.
-        headers: Headers that go on to a target unchanged.
+        headers: Headers that are passed on to a target unchanged.
         body: The whole body.
-        wait_s: How long the caller will wait, seconds; None where it does not say.
-        received_at: When its head came, steady seconds.
-        prompt: What it says of its prompt; None for a plain request.
-        caller: Who sends it, as far as it says: its credentials, or the workspace that
-            they belong to; empty for none.
-        key: The key that it carries; None for none, or where it is malformed.
+        wait_s: How long the caller will wait, seconds; None if not given.
+        received_at: When its head was received, monotonic seconds.
+        prompt: Its description of the prompt; None for a plain request.
+        caller: The caller's identity, as far as known: its credentials, or the
+            workspace that they belong to; empty if there are none.
+        key: Its idempotency key; None if missing or malformed.
     """
 
     id: str
@@ -95,7 +99,7 @@
 
 @dataclass(frozen=True)
 class CacheSource:
-    """Where a prompt that was read already can be fetched from."""
+    """Where the KV cache of a prefilled prompt can be fetched from."""
 
     address: str
     handle: str
@@ -103,17 +107,18 @@
 
 @dataclass(frozen=True)
 class Send:
-    """One sending of a request to one target.
+    """One request to one target.
 
     Attributes:
-        lifetime: The lifetime of the target that is meant; another one refuses.
+        lifetime: The lifetime of the target that is addressed; another one refuses.
         left_s: How long the target may work on it, seconds.
         priority: 0 is the most urgent, 9 the least.
-        prefill_only: Whether the prompt is only to be read and held.
-        source: Where the read prompt is to be fetched from, None to read it there.
-        holder: Address of an engine from whose cache the target first fetches what it
-            lacks of the prompt; empty for none.
-        resume_after: Id of the last event the caller has; None from the beginning.
+        prefill_only: Whether the target only prefills the prompt and keeps the result.
+        source: Where the prefilled prompt is fetched from; None to prefill it.
+        holder: Address of an engine from whose cache the target first fetches the parts
+            that it lacks; empty if nothing is fetched.
+        resume_after: Id of the last event the caller has; None to start from the
+            beginning.
     """
 
     lifetime: str
@@ -127,17 +132,18 @@
 
 @dataclass(frozen=True)
 class AnswerHead:
-    """The head of a target's answer.
+    """The head of a target's response.
 
     Attributes:
         status: HTTP status.
-        reason: Its phrase.
+        reason: HTTP reason phrase.
         headers: Headers for the caller.
-        request_id: Id of the request it answers, empty where it names none.
+        request_id: Id of the request that it answers; empty if not given.
         not_run: Whether the target says that it did not run the request.
-        answered_by: The lifetime that answered, where it says so.
-        sealed: Whether it is a whole answer in the target's name.
-        idle_s: How long the target keeps an idle connection; None if not told.
+        answered_by: The lifetime that responded, if given.
+        sealed: Whether it is a complete response in the target's name.
+        idle_s: How long the target keeps an idle connection, seconds; None if not
+            given.
     """
 
     status: int
@@ -152,12 +158,12 @@
 
 @dataclass(frozen=True)
 class Refusal:
-    """An answer of our own.
+    """A response by the gateway itself.
 
     Attributes:
         status: HTTP status.
-        reason: Why, one word for logs and metrics.
-        retry_s: When a new attempt is worth while, seconds; 0 for not said.
+        reason: Reason in one word, for logs and metrics.
+        retry_s: When a new attempt is worthwhile, seconds; 0 if not said.
     """
 
     status: int
@@ -174,7 +180,7 @@
 
 
 def find_deadline(request: Request, route: Route) -> float:
-    """Find when the final answer of an attempt is due, steady seconds."""
+    """Find the deadline of the final response to an attempt, monotonic seconds."""
     wait_s = route.timeout_s
     if request.wait_s is not None:
         wait_s = min(wait_s, request.wait_s)
@@ -182,27 +188,27 @@
 
 
 def find_first_event_deadline(request: Request, route: Route) -> float:
-    """Find when a caller gives up if nothing of its answer has come, steady seconds."""
-    due = find_deadline(request, route)
+    """Find when a caller gives up if no event has arrived, monotonic seconds."""
+    deadline = find_deadline(request, route)
     if route.kind != STREAM:
-        return due
-    patience_s = max(
-        LEAST_PATIENCE_S,
-        PATIENCE_AIMS * route.latency_objective_s,
-        PATIENCE_GAPS * route.gap_s,
+        return deadline
+    stream_timeout_s = max(
+        MIN_STREAM_TIMEOUT_S,
+        STREAM_TIMEOUT_OBJECTIVES * route.latency_objective_s,
+        STREAM_TIMEOUT_GAPS * route.gap_s,
     )
-    return min(due, request.received_at + patience_s)
+    return min(deadline, request.received_at + stream_timeout_s)
 
 
-def may_send_again(route: Route, offers: int, runs: int) -> bool:
-    """Whether a request may be sent to one more target to be run.
+def may_send_again(route: Route, sends: int, runs: int) -> bool:
+    """Check whether a request may be sent to one more target to be run.
 
     Args:
         route: Its route.
-        offers: Times that it was sent.
-        runs: Targets that may have run it; those that turned it away don't count.
+        sends: How many times it was sent.
+        runs: Number of targets that may have run it, without those that rejected it.
     """
-    if offers >= MAX_SENDS:
+    if sends >= MAX_SENDS:
         return False
     if runs == 0:
         return True
@@ -212,16 +218,16 @@
 def refuse_not_run(reason: str, retry_s: float, left_s: float) -> Refusal:
     """Refuse a request that has not run and never will.
 
-    Callers honour the hint up to a third of the time that they have left.
+    Callers follow the retry hint up to a third of the time that they have left.
     """
     return Refusal(503, reason, min(retry_s, max(0.0, left_s / 3)))
 
 
 def refuse_unknown_outcome(left_s: float) -> Refusal:
-    """Answer for a request that may have run."""
+    """Make the response for a request that may have run."""
     return TIMED_OUT if left_s <= MIN_ATTEMPT_S else BROKEN
 
 
 def format_retry_after(seconds: float) -> bytes:
-    """Write a hint of seconds with its fraction, rounded up to a hundredth."""
+    """Format a retry hint in seconds, rounded up to a hundredth."""
     return f"{math.ceil(seconds * 100) / 100:g}".encode()
--- a/src/robinspindle/core/policy.py
+++ b/src/robinspindle/core/policy.py
@@ -1,7 +1,7 @@
-"""Which of the decisions about engines are in force.
+"""Switches for the decisions about engines.
 
-Each can be switched off by itself, to see what it is worth where one serves, or to get
-rid of it in an emergency without a new version.
+Each decision can be switched off by itself, to measure its benefit in a deployment or
+to disable it in an emergency without a new version.
 """
 
 from dataclasses import dataclass
@@ -9,22 +9,26 @@
 
 @dataclass(frozen=True)
 class Policy:
-    """The switches; all are on unless the settings say otherwise.
+    """The switches; all are on unless the policy file says otherwise.
 
     Attributes:
-        learns_paces: Readings change what is believed of the engines' paces.
-        follows_ranks: What has a higher rank is read before what has a lower one.
-        serves_late: What can't be in time is sent after all that can; else refused.
-        limits_reading: Engines that generate read no more than the pauses of the
-            answers beside it allow.
-        gathers_long: Long answers are hosted together.
-        counts_held_up: A plan also counts for what waits behind it.
-        fetches_parts: Parts that another engine's cache holds are fetched.
-        varies_choices: Choices vary at random by the age of what is known.
-        notices_silence: Targets that fall silent are left.
-        tells_caches: Who starts is told what caches hold.
-        rests_longer: A target that turns requests away rests longer each time.
-        gives_turns: Lengths of prompts that are served too seldom are due a turn.
+        learns_paces: Measured prefills update the engines' prefill models.
+        follows_ranks: Requests of a higher rank are prefilled before those of a lower
+            one.
+        serves_late: Requests that cannot meet their deadlines are sent after all that
+            can; otherwise they are refused.
+        limits_reading: Decode engines prefill no more than the pauses of their answers
+            allow.
+        gathers_long: Long answers are concentrated on few engines.
+        counts_held_up: The cost of a plan includes the prompts that are queued behind
+            it.
+        fetches_parts: Prompt parts in another engine's cache are fetched.
+        varies_choices: Choices vary at random, by the age of the known state.
+        notices_silence: Requests are taken away from targets that time out.
+        tells_caches: Gateways that have just started are sent the contents of caches.
+        rests_longer: The backoff of a target that rejects requests grows each time.
+        gives_turns: Size classes that are served too seldom keep the priority of their
+            rank.
         changes_roles: Engines are ordered to change their roles.
     """
 
--- a/src/robinspindle/core/priorities.py
+++ b/src/robinspindle/core/priorities.py
@@ -1,9 +1,9 @@
-"""How urgent the reading of a prompt is, against that of others.
+"""Priority levels of prefills.
 
-Engines take what is more urgent first. What can still be in time goes before what
-can't, so late work uses the time that is left over and makes nothing else late. Among
-what can be in time the operator's ranks decide, but for readings so short that they
-hold nobody up.
+Engines start prefills in the order of their levels. Requests that can meet their
+deadlines go before those that cannot, so late work uses only spare time and delays no
+other request. Among requests that can meet their deadlines, the operator's ranks
+decide, except for prefills so short that they delay no other request.
 """
 
 SHORT_LEVEL = 0
@@ -11,23 +11,24 @@
 LAST_RANK_LEVEL = 4
 LATE_LEVEL = 5
 LEVELS = 6
-"""Levels, the most urgent first: short readings, four ranks, and late ones."""
+"""Number of levels, the most urgent first: short, four ranks, late."""
 
-SHORT_SHARE = 0.03
-"""A reading that takes less than this share of its aim goes before all others."""
+SHORT_PREFILL_RATIO = 0.03
+"""A prefill that takes at most this share of its latency objective goes first."""
 
 REQUEST_PRIORITIES = (1, 2, 3, 4, 5, 8)
-"""What an engine is told for each level, 0 to 9; 5 is what it takes by itself."""
+"""Priority sent to an engine for each level, from 0 (highest) to 9; engines assume 5 if
+none is sent."""
 
 
 def find_priority_level(
     prefill_s: float, latency_objective_s: float, rank: int, follows_ranks: bool = True
 ) -> int:
-    """Find the level of a reading that can be in time.
+    """Find the level of a prefill that can meet its deadline.
 
     Args:
-        prefill_s: How long it takes, seconds.
-        latency_objective_s: The time in which the first event should come, seconds.
+        prefill_s: Duration of the prefill, seconds.
+        latency_objective_s: Latency objective of the first event, seconds.
         rank: The operator's rank of its route; 0 is the highest.
         follows_ranks: Whether ranks count.
     """
@@ -39,15 +40,15 @@
 
 
 def is_short(prefill_s: float, latency_objective_s: float) -> bool:
-    """Whether a reading is so short that it holds nobody up."""
-    return prefill_s <= SHORT_SHARE * latency_objective_s
+    """Check whether a prefill is so short that it delays no other request."""
+    return prefill_s <= SHORT_PREFILL_RATIO * latency_objective_s
 
 
 def find_rank_level(rank: int) -> int:
-    """Find the level of the operator's rank of a route; 0 is the highest."""
+    """Find the level of the operator's rank of a route; 0 is the highest rank."""
     return min(LAST_RANK_LEVEL, FIRST_RANK_LEVEL + max(0, rank))
 
 
 def make_level_sums() -> list[float]:
-    """Make sums of work by level, all of them 0."""
+    """Make a list of sums by level, all 0."""
     return [0.0] * LEVELS
--- a/src/robinspindle/core/retrydetection.py
+++ b/src/robinspindle/core/retrydetection.py
@@ -1,36 +1,39 @@
-"""Tells callers that come back from new ones, by how long they will still wait.
+"""Detects retries of callers after a refusal by the time they will still wait.
 
-An attempt does not say whether it is the first. Callers of one route begin with the
-same patience, and who was refused comes back with what is left of it.
+A request does not say whether it is the caller's first attempt. Callers of one route
+start with the same timeout, and a caller that was refused retries with the rest of it.
 """
 
 from dataclasses import dataclass, field
 
-RETURN_SHARE = 0.97
-"""Who has less than this share of the longest patience that was seen comes back: the
-way to the entry takes a few milliseconds, a refusal and the pause after it more than a
-twentieth of any patience that was seen."""
+RETRY_TIMEOUT_SHARE = 0.97
+"""A caller with less than this share of the longest timeout of its route is a retry:
+the network delay to the gateway takes a few milliseconds, but a refusal and the delay
+before the retry take more than a twentieth of any observed timeout."""
 
 
 @dataclass
 class RetryDetector:
-    """The longest patience of each route's callers.
+    """The longest timeout of the callers of each route.
 
     Attributes:
-        longest_s: By route, seconds.
+        longest_s: The longest timeout by route, seconds.
     """
 
     longest_s: dict[str, float] = field(default_factory=dict)
 
-    def note(self, route: str, wait_s: float | None) -> bool:
-        """Take note of an attempt and tell whether its caller comes back.
+    def note(self, route: str, timeout_s: float | None) -> bool:
+        """Record a caller's attempt and check whether it is a retry.
 
         Args:
             route: Its route.
-            wait_s: How long its caller will wait, seconds; None if not told.
+            timeout_s: How long its caller will wait, seconds; None if not given.
+
+        Returns:
+            Whether the caller retries after a refusal.
         """
-        if wait_s is None:
+        if timeout_s is None:
             return False
-        longest_s = max(wait_s, self.longest_s.get(route, 0.0))
+        longest_s = max(timeout_s, self.longest_s.get(route, 0.0))
         self.longest_s[route] = longest_s
-        return wait_s < longest_s * RETURN_SHARE
+        return timeout_s < longest_s * RETRY_TIMEOUT_SHARE
--- a/src/robinspindle/core/sizeclasses.py
+++ b/src/robinspindle/core/sizeclasses.py
@@ -1,12 +1,12 @@
-"""Classes of prompts by their length, to tell who is served by size.
+"""Classes of prompts by length, to report and balance service by size.
 
-Each class is twice as long as the one before, so that a deployment has about ten of
-them whatever its prompts are like, and no class is tuned to one deployment.
+Each class is twice as long as the one before. A deployment thus has about ten classes
+whatever its prompts are like, and no class is specific to one deployment.
 """
 
 
 def find_size_class(tokens: int) -> int:
-    """Find the class of a prompt: the least power of two that it does not exceed.
+    """Find the size class of a prompt: the smallest power of two not below its length.
 
     Args:
         tokens: Tokens of the whole prompt.
--- a/src/robinspindle/core/sizefairness.py
+++ b/src/robinspindle/core/sizefairness.py
@@ -1,10 +1,11 @@
-"""Sees to it that no size of prompts is written off where work is more than engines.
-
-What can't begin in time goes behind all that can. A large prompt can't sooner than a
-small one, so that under a lasting load the large ones alone would pay: they wait behind
-all that comes meanwhile until their callers give up, or are refused for that wait. A
-class of lengths that is served less often than its route by too much is therefore due a
-turn: its next prompt is read in the order of its route's rank, like one in time.
+"""Ensures that prompts of each size class get a minimum share of service in overload.
+
+A request that cannot begin before its deadline is queued behind all that can. A large
+prompt meets its deadline less often than a small one, so under lasting overload the
+large ones alone would suffer: they would wait behind all newer requests until their
+callers time out, or be refused because of that wait. A size class whose share of served
+requests is too far below that of its route is therefore underserved: its next prompt
+keeps the priority of its route's rank, as if it met its deadline.
 """
 
 import math
@@ -12,28 +13,29 @@
 
 from robinspindle.core.sizeclasses import find_size_class
 
-LEAST_SHARE = 0.6
-"""Share of its route's rate at which a class of lengths is to be served at the least.
-Turns cost others some of their time, so that it is little more than the half that is
-owed to each."""
+MIN_FAIR_SHARE = 0.6
+"""Minimum ratio of the served share of a size class to that of its route. It is only a
+little above the half that each class is owed, as serving underserved classes costs the
+others some of their time."""
 
 WINDOW_S = 20.0
-"""How long a request counts, seconds: as long as an overload lasts, so that what was
-served before it does not hide who is not served now."""
+"""Time constant of the counts, seconds: about the duration of an overload, so that
+requests served before it do not hide a class that is not served now."""
 
-TRUSTED = 2.0
-"""Requests of a class that are taken as served like its route before any was seen. Each
-entry sees few large ones: without this the first one at each entry has a turn."""
+PRIOR_REQUESTS = 2.0
+"""Number of assumed requests per class that were served at the rate of the route. Each
+gateway sees few large prompts: without this prior, the first one at each gateway would
+count as underserved."""
 
 
 @dataclass
 class ServedCounts:
-    """Requests lately, as sums that fade.
+    """Recent requests, as exponentially decayed counts.
 
     Attributes:
-        asked: All of them.
-        served: Those that were served, or are planned to be.
-        at: When the sums were last brought up to date, steady seconds.
+        asked: All requests.
+        served: Requests that were served, or are planned to be.
+        at: When the counts were last updated, monotonic seconds.
     """
 
     asked: float = 0.0
@@ -43,62 +45,64 @@
 
 @dataclass
 class SizeFairness:
-    """What became of requests lately, as one entry saw it.
+    """Outcomes of recent requests, as one gateway saw them.
 
     Attributes:
-        routes: By route.
-        classes: By route and the most tokens of the class of length.
+        routes: Counts by route.
+        classes: Counts by route and by the maximum tokens of the size class.
     """
 
     routes: dict[str, ServedCounts] = field(default_factory=dict)
     classes: dict[tuple[str, int], ServedCounts] = field(default_factory=dict)
 
 
-def note_arrival(turns: SizeFairness, now: float, route: str, tokens: int) -> None:
-    """Take note of a request with a prompt of so many tokens."""
-    for sums in _find_sums(turns, now, route, tokens):
-        sums.asked += 1.0
+def note_arrival(fairness: SizeFairness, now: float, route: str, tokens: int) -> None:
+    """Record a request whose prompt has this many tokens."""
+    for counts in _find_counts(fairness, now, route, tokens):
+        counts.asked += 1.0
 
 
-def note_served(turns: SizeFairness, now: float, route: str, tokens: int) -> None:
-    """Take note that a request is served."""
-    for sums in _find_sums(turns, now, route, tokens):
-        sums.served += 1.0
+def note_served(fairness: SizeFairness, now: float, route: str, tokens: int) -> None:
+    """Record that a request is served."""
+    for counts in _find_counts(fairness, now, route, tokens):
+        counts.served += 1.0
 
 
-def note_not_served(turns: SizeFairness, now: float, route: str, tokens: int) -> None:
-    """Take note that a request which counts as served was not."""
-    for sums in _find_sums(turns, now, route, tokens):
-        sums.served = max(0.0, sums.served - 1.0)
+def note_not_served(
+    fairness: SizeFairness, now: float, route: str, tokens: int
+) -> None:
+    """Record that a request which was counted as served was not."""
+    for counts in _find_counts(fairness, now, route, tokens):
+        counts.served = max(0.0, counts.served - 1.0)
 
 
-def is_underserved(turns: SizeFairness, now: float, route: str, tokens: int) -> bool:
-    """Whether prompts of this length are due a turn.
+def is_underserved(fairness: SizeFairness, now: float, route: str, tokens: int) -> bool:
+    """Check whether prompts of this length are underserved.
 
     Args:
-        turns: What became of requests.
-        now: The present time, steady seconds.
-        route: The route of a request that was noted.
+        fairness: Outcomes of recent requests.
+        now: The current time, monotonic seconds.
+        route: The route of a recorded request.
         tokens: Tokens of its prompt.
     """
-    of_route, of_class = _find_sums(turns, now, route, tokens)
-    if of_route.asked <= 0.0:
+    route_counts, class_counts = _find_counts(fairness, now, route, tokens)
+    if route_counts.asked <= 0.0:
         return False
-    rate = of_route.served / of_route.asked
-    served = of_class.served + TRUSTED * rate
-    return served < LEAST_SHARE * rate * (of_class.asked + TRUSTED)
+    rate = route_counts.served / route_counts.asked
+    served = class_counts.served + PRIOR_REQUESTS * rate
+    return served < MIN_FAIR_SHARE * rate * (class_counts.asked + PRIOR_REQUESTS)
 
 
-def _find_sums(
-    turns: SizeFairness, now: float, route: str, tokens: int
+def _find_counts(
+    fairness: SizeFairness, now: float, route: str, tokens: int
 ) -> tuple[ServedCounts, ServedCounts]:
-    """Find the sums of a route and of a class of its lengths, brought up to date."""
+    """Find the counts of a route and of one of its size classes, decayed until now."""
     key = (route, find_size_class(tokens))
-    of_route = turns.routes.setdefault(route, ServedCounts(at=now))
-    of_class = turns.classes.setdefault(key, ServedCounts(at=now))
-    for sums in (of_route, of_class):
-        kept = math.exp((sums.at - now) / WINDOW_S)
-        sums.asked *= kept
-        sums.served *= kept
-        sums.at = now
-    return of_route, of_class
+    route_counts = fairness.routes.setdefault(route, ServedCounts(at=now))
+    class_counts = fairness.classes.setdefault(key, ServedCounts(at=now))
+    for counts in (route_counts, class_counts):
+        decay = math.exp((counts.at - now) / WINDOW_S)
+        counts.asked *= decay
+        counts.served *= decay
+        counts.at = now
+    return route_counts, class_counts
--- a/tests/core/test_forwarding.py
+++ b/tests/core/test_forwarding.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(("wait_s", "due"), [(None, 12.0), (0.5, 10.5), (9.0, 12.0)])
-def test_the_answer_is_due_at_the_sooner_of_caller_and_route(wait_s, due):
+def test_deadline_is_the_earlier_of_caller_and_route_timeout(wait_s, due):
     assert forwarding.find_deadline(make_request(wait_s), make_route()) == due
 
 
@@ -29,32 +29,32 @@
     st.integers(0, 5),
     st.integers(0, 5),
 )
-def test_what_may_run_once_is_never_sent_again_after_it_may_have_run(
-    kind, resumable, attempts, offers, runs
+def test_at_most_once_request_is_not_sent_again_after_it_may_have_run(
+    kind, resumable, attempts, sends, runs
 ):
     route = make_route(kind, attempts, resumable)
-    again = forwarding.may_send_again(route, offers, runs)
-    if again and runs:
+    may_send = forwarding.may_send_again(route, sends, runs)
+    if may_send and runs:
         assert kind == "idempotent" or resumable
         assert runs < attempts
-    if again:
-        assert offers < forwarding.MAX_SENDS
+    if may_send:
+        assert sends < forwarding.MAX_SENDS
 
 
-def test_only_what_did_not_run_is_answered_as_not_run():
+def test_refusals_differ_by_whether_the_request_may_have_run():
     assert forwarding.refuse_not_run("busy", 0.3, 3.0).status == 503
     assert forwarding.refuse_unknown_outcome(1.0).status == 502
     assert forwarding.refuse_unknown_outcome(0.0).status == 504
 
 
-def test_a_caller_is_not_told_to_come_back_later_than_it_would_honour():
+def test_retry_hint_is_at_most_a_third_of_the_time_left():
     assert forwarding.refuse_not_run("busy", 0.6, 0.9).retry_s == pytest.approx(0.3)
 
 
 @pytest.mark.parametrize(("seconds", "text"), [(0.3, b"0.3"), (0.301, b"0.31")])
-def test_a_hint_keeps_its_fraction_and_is_never_too_short(seconds, text):
+def test_retry_hint_keeps_its_fraction_and_is_rounded_up(seconds, text):
     assert forwarding.format_retry_after(seconds) == text
 
 
-def test_the_path_has_no_query():
+def test_path_excludes_the_query():
     assert make_request(None).path == "/r/"
--- a/tests/core/test_sizeclasses.py
+++ b/tests/core/test_sizeclasses.py
@@ -6,5 +6,5 @@
 @pytest.mark.parametrize(
     ("tokens", "most"), [(0, 1), (1, 1), (2, 2), (3, 4), (4096, 4096), (4097, 8192)]
 )
-def test_a_class_reaches_to_a_power_of_two(tokens, most):
+def test_class_is_the_next_power_of_two(tokens, most):
     assert find_size_class(tokens) == most
