--- a/tests/core/generationplay.py
+++ b/tests/core/generationplay.py
@@ -1,9 +1,9 @@
-"""Plays a load in virtual time against the decisions, with answers being generated.
+"""Simulates the decisions under load in virtual time, with answers being generated.
 
-On top of `loadplay`: an engine that generates has slots, makes the events of all its
-answers together, slower the more there are, and makes hardly any while it reads a
-prompt beside them. A caller leaves at its limit of time, and a pause over what its kind
-allows counts against its answer.
+Extends `loadplay`: a decode engine has slots and computes the events of all its answers
+together. Events take longer the more answers there are, and hardly any is made while
+the engine prefills a prompt. A caller leaves at its time limit, and an answer with a
+pause longer than its kind allows counts as paused.
 """
 
 import random
@@ -41,24 +41,24 @@
 
 SERVICE = "s"
 
-OUT_WEIGHT = 10
-"""How many tokens of a prompt a token of an answer counts for in a request's size."""
+ANSWER_TOKEN_WEIGHT = 10
+"""Weight of an answer token in the size of a request, in prompt tokens."""
 
 GUESS_SPREAD = 0.5
-"""Deviation of the logarithm of callers' guesses of the length of their answers."""
+"""Standard deviation of the logarithm of callers' guesses of the answer length."""
 
-OWN_WORK_S = 0.001
-"""The least that is left of an event which was held up and is made now, seconds."""
+MIN_EVENT_REST_S = 0.001
+"""Remaining time of a delayed event below which it is complete, seconds."""
 
 
 @dataclass(frozen=True)
 class Answers:
-    """What the answers of one kind of request are like.
+    """Properties of the answers to one kind of request.
 
     Attributes:
-        events: How many events they hold.
-        gap_s: The longest pause between two of them that is in time, seconds.
-        limit_s: When callers leave, whatever has come, seconds.
+        events: Number of events per answer.
+        gap_s: The longest allowed pause between two events, seconds.
+        limit_s: Time after which callers leave in any case, seconds.
     """
 
     events: Length
@@ -67,35 +67,35 @@
 
 
 @dataclass(frozen=True)
-class Making:
-    """How engines make events.
+class DecodeModel:
+    """How engines generate events.
 
     Attributes:
-        slots: Answers that an engine works on at once.
-        event_s: Seconds of an event of a single answer.
-        answer_s: Seconds by which each further answer makes an event longer.
-        event_tokens: Tokens of an event.
-        held_up: Share of the time of a reading beside answers in which these make no
-            event.
-        begin_s: Seconds for which an answer that begins holds the others up.
+        slots: Answers that an engine generates at once.
+        event_s: Time per event of a single answer, seconds.
+        extra_answer_s: Additional time per event for each other answer, seconds.
+        event_tokens: Tokens per event.
+        prefill_block_share: Share of the time of a prefill beside answers in which they
+            make no progress.
+        start_block_s: Time for which an answer that begins delays the others, seconds.
     """
 
     slots: int
     event_s: float
-    answer_s: float
+    extra_answer_s: float
     event_tokens: int
-    held_up: float = 0.9
-    begin_s: float = 0.0
+    prefill_block_share: float = 0.9
+    start_block_s: float = 0.0
 
 
 @dataclass
 class Answered(Outcome):
-    """What callers got, with their answers.
+    """What callers received, with their answers.
 
     Attributes:
-        paused: Answers that came whole, with a pause over what is allowed.
-        cut: Those that their callers left in their midst.
-        unbegun: Prompts that were read, and whose callers left before the answer.
+        paused: Complete answers with a pause longer than allowed.
+        cut: Answers whose callers left before the end.
+        unbegun: Prompts that were prefilled, but whose callers left before the answer.
     """
 
     paused: int = 0
@@ -104,25 +104,26 @@
 
 
 @dataclass
-class Host:
-    """What an engine that generates really does.
+class DecodeEngine:
+    """Actual state of a decode engine.
 
     Attributes:
-        slots: Taken by answers.
-        answers: Answers that it works on.
-        read_s: Seconds for which it has read prompts that are done.
-        reading_since: When it began the one that it reads now; None for none.
+        slots: Slots for answers.
+        answers: Answers that it generates.
+        prefill_s: Total duration of its completed prefills, seconds.
+        prefill_started_at: Start of the current prefill, seconds; None if there is
+            none.
     """
 
     slots: simpy.PriorityResource
     answers: int = 0
-    read_s: float = 0.0
-    reading_since: float | None = None
+    prefill_s: float = 0.0
+    prefill_started_at: float | None = None
 
-    def find_read_s(self, now: float) -> float:
-        """Find for how long it has read prompts, seconds."""
-        since = now if self.reading_since is None else self.reading_since
-        return self.read_s + now - since
+    def find_prefill_s(self, now: float) -> float:
+        """Find the total time for which it has prefilled prompts, seconds."""
+        since = now if self.prefill_started_at is None else self.prefill_started_at
+        return self.prefill_s + now - since
 
 
 @dataclass(frozen=True)
@@ -130,35 +131,35 @@
     """A load whose answers are generated.
 
     Attributes:
-        answers: What answers are like, by kind.
-        making: How engines make them.
+        answers: Properties of the answers, by kind.
+        making: The decode model of the engines.
     """
 
     answers: dict[str, Answers] = field(default_factory=dict)
-    making: Making = Making(64, 0.04, 0.0004, 9)
+    making: DecodeModel = DecodeModel(64, 0.04, 0.0004, 9)
 
 
-def play_answers(load: AnswerLoad, seed: int = 1) -> Answered:
-    """Play a load and return what callers got."""
-    return _AnswerPlay(load, random.Random(seed)).run()
+def simulate_answers(load: AnswerLoad, seed: int = 1) -> Answered:
+    """Simulate a load and return what callers received."""
+    return _AnswerSimulation(load, random.Random(seed)).run()
 
 
 def find_rates(outcome: Answered):
-    """Find the shares of callers that got whole answers, by kind and size."""
+    """Find the shares of callers that received complete answers, by kind and size."""
     return SizeAccount(outcome.ended).find_rates()
 
 
-class _AnswerPlay(_Play):
+class _AnswerSimulation(_Play):
     def __init__(self, load, rng):
         super().__init__(load, rng)
         self.outcome = Answered()
-        self.hosts = {
-            name: Host(simpy.PriorityResource(self.env, load.making.slots))
+        self.decode_engines = {
+            name: DecodeEngine(simpy.PriorityResource(self.env, load.making.slots))
             for name in self.names
         }
         for gateway in self.gateways:
-            gateway.lengths = AnswerStats()
-            gateway.answer_turns = SizeFairness()
+            gateway.stats = AnswerStats()
+            gateway.answer_fairness = SizeFairness()
 
     def _make_gateway(self):
         gateway = super()._make_gateway()
@@ -174,7 +175,7 @@
         for kind in self.kinds:
             self.env.process(self._come(kind))
         self.env.process(self._tell())
-        self.env.process(self._tell_answers())
+        self.env.process(self._report_answers())
         most_s = max(answers.limit_s for answers in self.load.answers.values())
         self.env.run(until=self.load.for_s + most_s + 1.0)
         return self.outcome
@@ -185,7 +186,7 @@
         events = answers.events.draw(self.rng)
         guess = events * self.rng.lognormvariate(0.0, GUESS_SPREAD)
         tokens = making.event_tokens
-        # The true length goes along in `model`, which nothing else looks at.
+        # `model` carries the actual length, as nothing else reads it.
         return replace(
             prompt,
             model=str(events),
@@ -194,17 +195,17 @@
         )
 
     def _describe(self, gateway, kind, prompt):
-        lengths, route = gateway.lengths, kind.name
+        stats, route = gateway.stats, kind.name
         limit_s = self.load.answers[route].limit_s
         asked = route, prompt.expected_answer_tokens
-        note_arrival(gateway.answer_turns, self.env.now, *asked)
+        note_arrival(gateway.answer_fairness, self.env.now, *asked)
         at = super()._describe(gateway, kind, prompt)
         return replace(
             at,
             gap_s=self.load.answers[route].gap_s,
-            is_long=lengths.is_long(route, SERVICE),
-            has_pause_sensitive=lengths.has_pause_sensitive(SERVICE),
-            handoff_s=lengths.find_handoff_s(SERVICE, self.env.now),
+            is_long=stats.is_long(route, SERVICE),
+            has_pause_sensitive=stats.has_pause_sensitive(SERVICE),
+            handoff_s=stats.find_handoff_s(SERVICE, self.env.now),
             max_event_s=find_max_event_s(
                 prompt,
                 self.load.making.event_tokens,
@@ -213,22 +214,22 @@
             longest_answer_event_s=find_longest_answer_event_s(
                 prompt,
                 self.load.making.event_tokens,
-                lengths.events.get(route, 0.0),
+                stats.events.get(route, 0.0),
                 limit_s,
                 self.load.answers[route].gap_s,
             ),
             is_answer_underserved=is_underserved(
-                gateway.answer_turns, self.env.now, *asked
+                gateway.answer_fairness, self.env.now, *asked
             ),
-            late_handoff_s=lengths.find_handoff_s(SERVICE, self.env.now, True),
+            late_handoff_s=stats.find_handoff_s(SERVICE, self.env.now, True),
         )
 
     def _note_expected(self, gateway, kind, prompt):
         events = prompt.expected_answer_tokens / self.load.making.event_tokens
-        gateway.lengths.note_expected(kind.name, SERVICE, events)
+        gateway.stats.note_expected(kind.name, SERVICE, events)
 
-    def _tell_answers(self):
-        """Tell each gateway how many answers all others have under way."""
+    def _report_answers(self):
+        """Report to each gateway how many answers of the others are in flight."""
         while True:
             yield self.env.timeout(self.load.news_s)
             for index in range(len(self.names)):
@@ -240,22 +241,22 @@
                     engine.peers_long_answers["others"] = sum(long) - long[number]
 
     def _read_busily(self, where, busy_s):
-        host = self.hosts[where]
-        host.reading_since = self.env.now
+        decode_engine = self.decode_engines[where]
+        decode_engine.prefill_started_at = self.env.now
         yield self.env.timeout(busy_s)
-        host.read_s += self.env.now - host.reading_since
-        host.reading_since = None
+        decode_engine.prefill_s += self.env.now - decode_engine.prefill_started_at
+        decode_engine.prefill_started_at = None
 
     def _answer(self, gateway, kind, prompt, plan, came_at):
         env, answers = self.env, self.load.answers[kind.name]
         self._note_expected(gateway, kind, prompt)
-        read_at = env.now
-        is_long = gateway.lengths.is_long(kind.name, SERVICE)
+        prefilled_at = env.now
+        is_long = gateway.stats.is_long(kind.name, SERVICE)
         target = plan.target
         if plan.reader is not None:
             target = choose_decode_target(
                 gateway.pairs, "a", env.now, self.load.news_s, self.rng,
-                gateway.lengths.has_pause_sensitive(SERVICE),
+                gateway.stats.has_pause_sensitive(SERVICE),
             )  # fmt: skip
             yield env.timeout(self.load.way_s / 2 + 0.002)
         name = target.announced.lifetime
@@ -267,30 +268,30 @@
             level = find_rank_level(kind.rank)
         events = yield from self._generate(
             name, engine, kind, prompt, REQUEST_PRIORITIES[level], came_at,
-            self._make_note(engine, kind, prompt, is_long, came_at),
+            self._make_pause_recorder(engine, kind, prompt, is_long, came_at),
         )  # fmt: skip
         engine.own_long_answers -= is_long
         target.in_flight -= 1
         if plan.reader is not None and events.first_at is not None:
-            seconds = events.first_at - read_at
+            seconds = events.first_at - prefilled_at
             is_late = plan.level == LATE_LEVEL
-            gateway.lengths.note_handoff(SERVICE, env.now, seconds, is_late)
+            gateway.stats.note_handoff(SERVICE, env.now, seconds, is_late)
         if events.first_at is not None:
             note_slot_hold(engine, env.now - events.first_at)
         if events.first_at is not None and events.made > 1:
             seconds = env.now - events.first_at
-            gateway.lengths.note_answer(SERVICE, events.made, seconds)
+            gateway.stats.note_answer(SERVICE, events.made, seconds)
         counts = plan.level < LATE_LEVEL
         if counts != events.is_whole:
             note = note_served if events.is_whole else note_not_served
             note(gateway.turns, env.now, kind.name, prompt.tokens)
         if events.is_whole:
             asked = kind.name, prompt.expected_answer_tokens
-            note_served(gateway.answer_turns, env.now, *asked)
+            note_served(gateway.answer_fairness, env.now, *asked)
         self._note_answer(kind, prompt, events, came_at, answers)
 
-    def _make_note(self, engine, kind, prompt, is_long, came_at):
-        """Make what takes note of a pause, as a gateway does that passes it on."""
+    def _make_pause_recorder(self, engine, kind, prompt, is_long, came_at):
+        """Make a callback that records pauses as a gateway does."""
         answers, tokens = self.load.answers[kind.name], self.load.making.event_tokens
 
         def note(pause_s, made):
@@ -308,21 +309,21 @@
         return note
 
     def _generate(self, name, engine, kind, prompt, urgency, came_at, note):
-        """Generate an answer until it is whole or its caller leaves."""
-        env, host = self.env, self.hosts[name]
+        """Generate an answer until it is complete or its caller leaves."""
+        env, decode_engine = self.env, self.decode_engines[name]
         answers = self.load.answers[kind.name]
-        made = Events()
-        with host.slots.request(priority=urgency) as slot:
+        made = AnswerProgress()
+        with decode_engine.slots.request(priority=urgency) as slot:
             patience_s = came_at + kind.patience_s - env.now
             yield slot | env.timeout(max(0.0, patience_s))
             if not slot.triggered:
                 return made
-            host.answers += 1
+            decode_engine.answers += 1
             has_pauses = answers.events.mean >= MIN_PAUSE_SENSITIVE_EVENTS
-            host.read_s += self.load.making.begin_s
+            decode_engine.prefill_s += self.load.making.start_block_s
             last_at, total = env.now, int(prompt.model)
             while made.made < total:
-                yield from self._make_event(name, host)
+                yield from self._wait_for_event(name, decode_engine)
                 if env.now > came_at + answers.limit_s:
                     break
                 made.made += 1
@@ -338,25 +339,27 @@
                         note_answer_event(engine, env.now)
                     note(env.now - last_at, made.made)
                 last_at = env.now
-            host.answers -= 1
+            decode_engine.answers -= 1
             if made.first_at is not None and has_pauses:
                 note_answer_ended(engine)
         made.is_whole = made.made >= total
         return made
 
-    def _make_event(self, name, host):
-        """Make the next event; what is read beside it holds it up."""
+    def _wait_for_event(self, name, decode_engine):
+        """Wait for the next event, which is delayed by prefill beside it."""
         making, env = self.load.making, self.env
-        left_s = making.event_s + making.answer_s * host.answers
+        left_s = making.event_s + making.extra_answer_s * decode_engine.answers
         left_s *= 3.0 if name in self.load.slow else 1.0
-        while left_s > OWN_WORK_S:
-            before_s = host.find_read_s(env.now)
+        while left_s > MIN_EVENT_REST_S:
+            before_s = decode_engine.find_prefill_s(env.now)
             yield env.timeout(left_s)
-            left_s = making.held_up * (host.find_read_s(env.now) - before_s)
+            left_s = making.prefill_block_share * (
+                decode_engine.find_prefill_s(env.now) - before_s
+            )
 
     def _find_size(self, prompt):
         answer_tokens = int(prompt.model) * self.load.making.event_tokens
-        return prompt.tokens + OUT_WEIGHT * answer_tokens
+        return prompt.tokens + ANSWER_TOKEN_WEIGHT * answer_tokens
 
     def _note_answer(self, kind, prompt, events, came_at, answers):
         outcome = self.outcome
@@ -377,21 +380,21 @@
         outcome.ended.append(Ended(kind.name, size, events.is_whole, last))
 
     def _note_end(self, kind, prompt, taken_s):
-        """Note a refusal: all other ends are noted with their answers."""
+        """Record a refusal; all other ends are recorded with their answers."""
         size = self._find_size(prompt)
         self.outcome.refused += 1
         self.outcome.ended.append(Ended(kind.name, size, False, "refused"))
 
 
 @dataclass
-class Events:
-    """What came of one answer.
+class AnswerProgress:
+    """Progress of one answer.
 
     Attributes:
-        made: Events that were made.
-        first_at: When the first was, seconds; None for none.
-        longest_s: The longest pause between two, seconds.
-        is_whole: Whether all were made in time for the caller.
+        made: Events that were generated.
+        first_at: Time of the first event, seconds; None if there is none.
+        longest_s: The longest pause between two events, seconds.
+        is_whole: Whether all events were generated before the caller left.
     """
 
     made: int = 0
@@ -401,7 +404,7 @@
 
 
 def make_matchmaking_load(kinds: tuple[Kind, ...], **more) -> AnswerLoad:
-    """Make the load of a matchmaking deployment with answers of its three kinds."""
+    """Make the load of a matchmaking deployment with answers of three kinds."""
     answers = {
         "season-grid": Answers(Length(13.3, 1.4, 53.2), 0.2, 6.0),
         "club-night-grid": Answers(Length(6.0, 1.0, 23.0), 0.2, 4.0),
@@ -430,7 +433,9 @@
         "assignment": Answers(Length(2.0, 0.6, 6.0), 0.2, 2.0),
         "note": Answers(Length(90.0, 0.7, 214.0), 0.2, 15.0),
     }
-    making = Making(96, 0.036, 0.0004, 57, held_up=0.7, begin_s=0.008)
+    making = DecodeModel(
+        96, 0.036, 0.0004, 57, prefill_block_share=0.7, start_block_s=0.008
+    )
     return AnswerLoad(
         per_s=0.0, kinds=kinds, tokens_per_s=346_000, cache_tokens=872_000,
         gives_turns=True, answers=answers, making=making, **more,
--- a/tests/core/test_generation.py
+++ b/tests/core/test_generation.py
@@ -1,13 +1,15 @@
-"""What callers get of answers where work is more than engines bear.
-
-Answers were cut, paused, or never began although their prompts had been read. In order:
-traffic rises, and engines that generate read beside their answers for up to 0.6 of the
-time, whatever that does to them; an event takes 130 to 300 ms in place of 75 among as
-many answers; slots fill, as each answer lasts longer; answers of a few events are then
-believed long, and the prompts of long ones are read at their host in any case, so that
-it reads more than it can. Evidence, a day with logs: engines that generate were planned
-to read 40,000 to 105,000 tokens a second, they can read 32,000; 50 answers an engine
-took 290 ms an event there, 48 answers 133 ms where 450 ms of a second were read.
+"""Checks what callers receive of their answers under overload.
+
+Guards against answers that are cut, pause or never begin although their prompts were
+prefilled. This came about as follows: traffic rises, and decode engines prefill beside
+their answers for up to 0.6 of the time, whatever that does to the answers. An event
+takes 130 to 300 ms instead of 75 with as many answers. Slots fill up, as each answer
+lasts longer. Answers of a few events then count as long, and the prompts of long
+answers were always prefilled by their decode engine, which made it exceed its capacity.
+
+In the logs, decode engines were planned to prefill 40,000 to 105,000 tokens a second
+but have a capacity of 32,000. 50 answers on an engine took 290 ms per event there, and
+48 answers took 133 ms while the engine prefilled for 450 ms of each second.
 """
 
 from standins.prompts import make_matchmaking_kinds
@@ -15,7 +17,7 @@
     find_rates,
     make_dispatch_load,
     make_matchmaking_load,
-    play_answers,
+    simulate_answers,
 )
 
 SLOW = frozenset(["p0", "d0", "d1"])
@@ -24,8 +26,8 @@
 SEEDS = (0, 1, 2)
 
 
-def play_day(times):
-    """Play a load on nine engines, a third of them slow, three times."""
+def simulate_overload(times):
+    """Simulate a load on nine engines, a third of them slow, three times."""
     load = make_matchmaking_load(
         make_matchmaking_kinds(times, 9 / 21),
         for_s=20.0,
@@ -34,7 +36,7 @@
         gateways=5,
         slow=SLOW,
     )
-    return [play_answers(load, seed) for seed in SEEDS]
+    return [simulate_answers(load, seed) for seed in SEEDS]
 
 
 def sum_share(outcomes, name):
@@ -42,36 +44,50 @@
     return sum(getattr(outcome, name) for outcome in outcomes) / asked
 
 
-def test_slow_answers_do_not_make_their_engines_read_more():
-    """In time at four times the load: 0.15 where long prompts are read at their host
-    in any case, 0.18 where it has to bear that; answers that are cut 0.20 and 0.16."""
-    outcomes = play_day(4)
+def test_slow_answers_do_not_increase_prefill_beside_them():
+    """Guards against a feedback loop between slow answers and prefill beside them.
+
+    At four times the load, 0.15 of the requests met their deadline and 0.20 of the
+    answers were cut if the decode engine prefilled every long prompt; 0.18 and 0.16 if
+    it did so only with the capacity for it.
+    """
+    outcomes = simulate_overload(4)
     assert sum_share(outcomes, "in_time") > 0.165
     assert sum_share(outcomes, "cut") < 0.18
 
 
-def test_an_engine_reads_beside_short_answers_what_their_pauses_leave():
-    """Answers that pause at the usual load: 0.20 with a share of time that is fixed,
-    0.12 with one that follows pauses."""
-    assert sum_share(play_day(1), "paused") < 0.15
+def test_prefill_beside_short_answers_is_limited_by_their_pauses():
+    """Guards against a fixed prefill share beside short answers.
+
+    At the usual load, 0.20 of the answers paused with a fixed share of time and 0.12
+    with one that follows the pauses.
+    """
+    assert sum_share(simulate_overload(1), "paused") < 0.15
 
 
-def test_no_size_is_left_unserved_where_answers_are_too_many():
-    """Where both faults are there, at four times the load the largest quick pairs are
-    served at 0.06 and 0.27 in place of 0.17 and 0.57, in two of three plays."""
-    found = [find_rates(outcome) for outcome in play_day(4)]
+def test_no_size_is_left_unserved_with_too_many_answers():
+    """Guards against the largest requests being left unserved.
+
+    With both faults above, at four times the load, the largest quick pairs were served
+    at 0.06 and 0.27 instead of 0.17 and 0.57, in two of three simulations.
+    """
+    found = [find_rates(outcome) for outcome in simulate_overload(4)]
     assert not [kind for rates in found for kind in rates.items() if kind[1].is_short]
 
 
-def test_long_answers_are_refused_before_they_make_others_late():
-    """With more notes than places all waited for one, and callers of short answers
-    too: in time 0.27 of all. Where notes are refused beyond what engines bear, 0.34,
-    and the largest of them are served at half the rate of all or more (in callers'
-    hands, who come back, more of them are served; here none does)."""
+def test_long_answers_beyond_capacity_are_refused():
+    """Guards against long answers that take all slots.
+
+    With more notes than slots, all requests waited for one, also those with short
+    answers: 0.27 of all met their deadline. If notes beyond the engines' capacity are
+    refused, 0.34 do, and the largest notes are served at half the rate of all or more.
+    With real callers, which retry, more of them are served; in this simulation none
+    retries.
+    """
     load = make_dispatch_load(
         2.5, for_s=20.0, readers=2, hosts=4, gateways=4, slow=frozenset(["d0", "d1"])
     )
-    outcomes = [play_answers(load, seed) for seed in (0, 1)]
+    outcomes = [simulate_answers(load, seed) for seed in (0, 1)]
     assert sum_share(outcomes, "in_time") > 0.3
     found = [find_rates(outcome) for outcome in outcomes]
     assert not [kind for rates in found for kind in rates.items() if kind[1].is_short]
--- a/tests/core/test_small.py
+++ b/tests/core/test_small.py
@@ -1,4 +1,4 @@
-"""The smaller decisions: streams, claims, limits, retries, leases, burn, roles."""
+"""Tests of smaller decisions: streams, claims, limits, retries, leases, burn, roles."""
 
 import random
 
@@ -25,7 +25,7 @@
 CLAIM = {"key": "k", "digest": "d", "target": "t", "incarnation": "i"}
 
 
-def test_tokens_out_of_order_are_delivered_in_order_once():
+def test_out_of_order_tokens_are_delivered_once_in_order():
     buffer = TokenBuffer(count=4)
     assert add_tokens(buffer, 2, ("c",)) == []
     assert buffer.has_gap
@@ -34,7 +34,7 @@
     assert buffer.is_whole
 
 
-def test_the_first_claim_of_a_key_wins_and_only_its_own_end_counts():
+def test_first_claim_of_a_key_wins_and_only_its_own_release_counts():
     table = ClaimTable()
     first = Claim(request="a", attempt=1, **CLAIM)
     second = Claim(request="b", attempt=1, **CLAIM)
@@ -49,7 +49,7 @@
     assert apply_claims(table, 3, encode_claims([second])) == ()
 
 
-def test_a_workspace_gets_its_share_of_the_entry():
+def test_workspace_limit_is_divided_among_entries():
     configuration = Configuration(FleetSection(name="f", entries=2), PolicySection())
     workspace = WorkspaceSection(
         name="w", key_digest="0" * 64, requests_per_s=4, in_flight=100
@@ -61,7 +61,7 @@
     assert limits.admit(usage, configuration, workspace, 0.5) == 0.0
 
 
-def test_retries_are_a_share_of_first_tries_and_never_against_the_deadline():
+def test_retries_are_limited_by_first_attempts_and_by_the_deadline():
     budget = retries.RetryBudget(share=0.5, left=0.0)
     retries.add_first_attempt(budget)
     assert not retries.take_retry(budget, 1, 10.0, 0.1)
@@ -71,7 +71,7 @@
     assert not retries.take_retry(budget, 1, 10.0, 0.1)
 
 
-def test_a_holder_renews_and_a_challenger_waits_a_lease_time():
+def test_holder_renews_and_challenger_waits_for_the_lease_to_expire():
     lease = Lease("a", 5, 9)
     holder = leases.LeaseWatch("a", lease)
     renewal = leases.decide_lease(holder, 10.0, "x", random.Random(1))
@@ -84,7 +84,7 @@
     assert takeover == Takeover(id="y", holder="b", after=9)
 
 
-def test_records_are_kept_for_peers_without_a_gap():
+def test_records_for_peers_have_no_gap():
     window = catchup.RecordWindow()
     for offset in range(5, 9):
         catchup.keep_record(window, offset, bytes([offset]))
@@ -94,7 +94,7 @@
     assert catchup.decide_fetch(window, 1.6, 8, 9) == Fetch(after=8)
 
 
-def test_a_burn_rate_of_one_spends_the_allowance_exactly():
+def test_burn_rate_of_one_uses_the_error_budget_exactly():
     ledger = burn.BurnCounts()
     subject = burn.ObjectiveKey("w", "chat")
     for number in range(100):
@@ -126,15 +126,15 @@
     return roles.decide_role_change(watch, state, Envelope(intent, "p"), named, now)
 
 
-def test_roles_change_only_for_a_gain_that_lasts():
-    pace = {"target": "", "incarnation": "", "prefill_s": 0.0001, "step_s": 0.016}
-    idle = Report(slots=8, **pace)
-    busy = Report(slots=8, prompt_rate=5000.0, token_rate=100.0, **pace)
+def test_roles_change_only_for_a_lasting_gain():
+    speed = {"target": "", "incarnation": "", "prefill_s": 0.0001, "step_s": 0.016}
+    idle = Report(slots=8, **speed)
+    busy = Report(slots=8, prompt_rate=5000.0, token_rate=100.0, **speed)
     watch = roles.PendingChanges()
     assert decide(idle, 0.0, watch) is None
     # Four times half an engine of prompts on one prefill target: twice too much.
     assert decide(busy, 1.0, watch) is None
     assert decide(busy, 1.0 + roles.SUSTAINED_S, watch) == ("e1", "prefill")
-    # A shift back in between starts the wait anew.
+    # A return to the earlier load in between restarts the wait.
     assert decide(idle, 5.0, watch) is None
     assert decide(busy, 6.0, watch) is None
