--- a/src/robinspindle/core/health.py
+++ b/src/robinspindle/core/health.py
@@ -1,66 +1,72 @@
-"""What a target has lately done for one entry, and whether it gets work for it.
+"""Health of targets, as one gateway observes it, and whether they get requests.
 
-Refusals, broken connections and silence make it rest; faults and a start not long ago
-make it look slower than the others.
+Rejected requests, connection failures and silence put a target into backoff. Faulty
+answers and a recent start raise its cost compared with other targets.
 """
 
 from robinspindle.core import silence, targets
 from robinspindle.core.targets import Directory, Target
 
-FAILURES_TO_REST = 2
-"""Broken connections in a row after which a target rests: one may be chance."""
+FAILURES_BEFORE_BACKOFF = 2
+"""Consecutive connection failures that start a backoff: a single one may be chance."""
 
 FIRST_BACKOFF_S = 0.4
-"""First rest, seconds: about a third of the interval of the targets' heartbeats."""
+"""First backoff, seconds: about a third of the interval of the targets' heartbeats."""
 
 MAX_BACKOFF_S = 3.0
-"""Longest rest, seconds: a crashed target that restarts is found again within it."""
+"""Longest backoff, seconds: a crashed target that restarts is used again within it."""
 
 SWITCH_SLACK_S = 12.0
-"""How long an engine may take beyond a change of role itself, seconds: the longest
-answers that it has to end first."""
+"""Time that an engine may take beyond the role change itself, seconds: the longest
+answers that it has to finish first."""
 
 FIRST_FULL_BACKOFF_S = 0.05
 MAX_FULL_BACKOFF_S = 1.0
-"""First and longest rest of a target that turned a request away, seconds: about the
-time in which a few of its requests end, doubled for each one that it turns away in a
-row. An engine that changes its role turns all away for seconds; with the first rest
-alone callers are refused for want of a repeat."""
+"""First and longest backoff of a target that rejected a request as full, seconds. The
+first is about the time in which a few of its requests end; it doubles with each
+consecutive rejection. An engine that changes its role rejects all requests for seconds:
+with a constant backoff callers are refused as their requests run out of retries."""
 
-COLD_FACTOR = 1.6
-"""How much slower a target is taken to be soon after its start: what the platform's
-site files say of the plain services that have such a time."""
+COLD_SLOWDOWN = 1.6
+"""Assumed ratio of a target's response time during its warm-up to that after it, as the
+platform's site files state for the plain services that have a warm-up."""
 
 FAULT_SMOOTHING = 0.1
-"""Weight of the newest answer in the share of faulty ones: about the last ten count."""
+"""Weight of the latest answer in the share of faulty ones: about the last ten count."""
 
 
 def may_get_work(target: Target, now: float) -> bool:
-    """Whether a target may get new requests at all."""
+    """Return whether a target may get new requests at all."""
     is_away = target.replaced or target.is_unreadable or targets.is_gone(target, now)
     return not (target.announced.leaving or is_away)
 
 
 def is_healthy(target: Target, now: float) -> bool:
-    """Whether nothing that was seen speaks against a target at the moment."""
+    """Return whether a target is neither in backoff, full, nor changing its role."""
     if is_switching(target, now):
         return False
     return now >= target.backoff_until and now >= target.full_until
 
 
 def find_slowness(target: Target, now: float) -> float:
-    """Find how many times longer a target takes than one that started long ago."""
-    return COLD_FACTOR if now < target.cold_until else 1.0
+    """Return the ratio of a target's response time to that of a warm target."""
+    return COLD_SLOWDOWN if now < target.cold_until else 1.0
 
 
 def note_switching(target: Target, role: str, until: float) -> None:
-    """Take note that a target was ordered to take another role."""
+    """Record that a target was ordered to change to another role.
+
+    Args:
+        target: The target.
+        role: The new role.
+        until: Time until which it may be unavailable for that, monotonic seconds.
+    """
     if target.announced.role != role:
         target.switching_to, target.switching_until = role, until
 
 
 def is_switching(target: Target, now: float) -> bool:
-    """Whether a target is away, or about to be, for a change of its role."""
+    """Return whether a target is unavailable, or soon will be, for a role change."""
     is_done = target.announced.role == target.switching_to
     return bool(target.switching_to) and not is_done and now < target.switching_until
 
@@ -71,13 +77,14 @@
     """List the targets of a service that may get a request.
 
     Args:
-        directory: All targets.
-        service: The service.
-        now: The present time, steady seconds.
-        tried: Lifetimes that this request went to already.
+        directory: The known targets.
+        service: The name of the service.
+        now: The current time, monotonic seconds.
+        tried: Lifetimes that this request was already sent to.
 
     Returns:
-        The healthy ones; where there is none, all that may get work.
+        The healthy targets; if there are none, all that may get requests. Targets whose
+        entry is missing are used only if there are no others.
     """
     allowed = [
         target
@@ -91,36 +98,40 @@
 
 
 def note_refused(target: Target, now: float) -> None:
-    """Take note that nobody listens at a target's address: its process is gone."""
-    target.failures = max(target.failures, FAILURES_TO_REST)
+    """Record a refused connection: the target's process is gone."""
+    target.failures = max(target.failures, FAILURES_BEFORE_BACKOFF)
     note_broken(target, now)
 
 
 def note_broken(target: Target, now: float) -> None:
-    """Take note of a connection that could not be made or broke."""
+    """Record a connection that broke or could not be made."""
     target.failures += 1
     note_fault(target, True)
-    if target.failures >= FAILURES_TO_REST:
-        doublings = min(8, target.failures - FAILURES_TO_REST)
+    if target.failures >= FAILURES_BEFORE_BACKOFF:
+        doublings = min(8, target.failures - FAILURES_BEFORE_BACKOFF)
         target.backoff_until = now + min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**doublings)
 
 
 def note_heard(target: Target, now: float) -> None:
-    """Take note that something came of a target; a silent one is used again."""
+    """Record that data came from a target; if it was silent, its backoff ends."""
     if silence.note_heard(target.liveness, now):
         note_answered(target)
 
 
 def note_silent(target: Target, now: float) -> None:
-    """Take note that a target has fallen silent; it rests."""
+    """Record that a target is silent; its backoff begins."""
     silence.note_silent(target.liveness, now)
     note_refused(target, now)
 
 
 def note_reported_silent(target: Target, now: float) -> bool:
-    """Take note that another entry found a target silent; whether that is believed.
+    """Record that another gateway found a target silent.
+
+    The report is ignored if this gateway received data from the target recently, or if
+    the target is in backoff already.
 
-    It is not where this entry has heard of the target since.
+    Returns:
+        Whether the report was applied.
     """
     is_heard = now - target.liveness.heard_at < silence.MIN_SILENCE_S
     if is_heard or now < target.backoff_until:
@@ -130,20 +141,26 @@
 
 
 def note_answered(target: Target) -> None:
-    """Take note of a whole answer."""
+    """Record a complete answer."""
     target.failures = 0
     target.refusals = 0
     target.backoff_until = 0.0
 
 
 def note_fault(target: Target, faulty: bool) -> None:
-    """Take note of whether an answer was a fault of the target's own."""
+    """Record whether an answer was a fault of the target itself."""
     target.faults += FAULT_SMOOTHING * ((1.0 if faulty else 0.0) - target.faults)
 
 
 def note_full(target: Target, now: float, rests_longer: bool = True) -> None:
-    """Take note that a target turned a request away; it rests, longer each time."""
+    """Record that a target rejected a request as full.
+
+    Args:
+        target: The target.
+        now: The current time, monotonic seconds.
+        rests_longer: Whether the backoff doubles with each consecutive rejection.
+    """
     doublings = target.refusals if rests_longer else 0
-    rest_s = min(MAX_FULL_BACKOFF_S, FIRST_FULL_BACKOFF_S * 2**doublings)
+    backoff_s = min(MAX_FULL_BACKOFF_S, FIRST_FULL_BACKOFF_S * 2**doublings)
     target.refusals += 1
-    target.full_until = max(target.full_until, now + rest_s)
+    target.full_until = max(target.full_until, now + backoff_s)
--- a/src/robinspindle/core/lifetimes.py
+++ b/src/robinspindle/core/lifetimes.py
@@ -1,61 +1,60 @@
-"""Lifetimes of targets: an id and a start, together.
+"""Lifetimes of targets: an id and a start time, together.
 
-A target may start again under the id that it had. It then holds and knows nothing of
-before. All that is believed of a target is therefore kept by its lifetime, never by its
-id; only this module puts the two together and takes them apart. On the wire a target is
-named by its id alone.
+A target may start again under the same id. It then has none of its earlier state.
+Therefore all that is known of a target is keyed by its lifetime, never by its id. Only
+this module joins and splits the two. On the wire a target is named by its id alone.
 """
 
 from typing import NewType
 
 Lifetime = NewType("Lifetime", str)
-"""An id, and ``@`` with the Unix millisecond of its start where that is told."""
+"""An id, followed by ``@`` and the Unix millisecond of its start if that is known."""
 
-MARK = "@"
-"""Parts an id from its start; no id holds it (`is_id`)."""
+SEPARATOR = "@"
+"""Separates an id from its start; no id contains it (`is_id`)."""
 
-MOST_ID_LENGTH = 200
-"""Longest id, characters; it goes into the head of each request."""
+MAX_ID_LENGTH = 200
+"""Longest id, characters; it goes into the header section of each request."""
 
 
 def is_id(text: str) -> bool:
-    """Whether a text can name a target on the wire and within a lifetime."""
+    """Return whether a text can name a target on the wire and in a lifetime."""
     return (
-        0 < len(text) <= MOST_ID_LENGTH
+        0 < len(text) <= MAX_ID_LENGTH
         and text.isascii()
         and text.isprintable()
         and " " not in text
-        and MARK not in text
+        and SEPARATOR not in text
     )
 
 
-def make_lifetime(id: str, born_ms: int | None) -> Lifetime:
+def make_lifetime(id: str, start_ms: int | None) -> Lifetime:
     """Make the lifetime of a target.
 
     Args:
         id: Its id.
-        born_ms: When it started, Unix milliseconds; None where that is not told.
+        start_ms: Start of the lifetime, Unix milliseconds; None for unknown.
     """
-    return Lifetime(id if born_ms is None else f"{id}{MARK}{born_ms}")
+    return Lifetime(id if start_ms is None else f"{id}{SEPARATOR}{start_ms}")
 
 
 def find_id(lifetime: str) -> str:
-    """Find the id by which the wire names a lifetime."""
-    return lifetime.partition(MARK)[0]
+    """Return the id that names a lifetime on the wire."""
+    return lifetime.partition(SEPARATOR)[0]
 
 
 def find_start_ms(lifetime: str) -> int | None:
-    """Find when a lifetime started, Unix milliseconds; None where that is not told."""
-    born_ms = lifetime.partition(MARK)[2]
-    return int(born_ms) if born_ms else None
+    """Return the start of a lifetime, Unix milliseconds; None for unknown."""
+    start_ms = lifetime.partition(SEPARATOR)[2]
+    return int(start_ms) if start_ms else None
 
 
 def is_later(lifetime: str, other: str) -> bool:
-    """Whether a lifetime of the same id began after another one.
+    """Return whether a lifetime of an id began after another one of the same id.
 
-    One that tells no start is never later than one that does.
+    A lifetime with unknown start is never later than one with a known start.
     """
-    born_ms, other_ms = find_start_ms(lifetime), find_start_ms(other)
-    if born_ms is None:
+    start_ms, other_ms = find_start_ms(lifetime), find_start_ms(other)
+    if start_ms is None:
         return False
-    return other_ms is None or born_ms > other_ms
+    return other_ms is None or start_ms > other_ms
--- a/src/robinspindle/core/membership.py
+++ b/src/robinspindle/core/membership.py
@@ -1,14 +1,14 @@
-"""Which targets may get new work, from several kinds of evidence.
+"""Decides which targets may get new work, from several kinds of evidence.
 
-The platform's list lags and lies by omission, so it is never the only evidence
-against a target that answers.
+The platform's list lags and omits targets, so it is never the only evidence against a
+target that answers.
 """
 
 from dataclasses import dataclass
 
 from robinspindle.messages import Report
 
-SUSPECT_FAILURES = 3
+FAILURES_BEFORE_BACKOFF = 3
 FIRST_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 10.0
 
@@ -18,14 +18,15 @@
     """What one entry knows of one target.
 
     Attributes:
-        heard_at: When its agent was last heard, None for never.
-        hello_sent_at: When it was last greeted.
-        report: The last report.
-        prefixes: Digests of prefixes in its cache, as last told.
-        prefix_version: Number of that list.
-        listed_leaving: Whether the platform's list names its VM as leaving.
-        failures: Runs that broke off in a row.
-        backoff_until: Until when it is put aside for its failures.
+        heard_at: Time when a message last came from its agent, monotonic seconds; None
+            for never.
+        hello_sent_at: Time when the last Hello was sent to it, monotonic seconds.
+        report: Its last report.
+        prefixes: Digests of the prefixes in its cache, as last reported.
+        prefix_version: Version number of `prefixes`.
+        listed_leaving: Whether the platform's list says that its VM is leaving.
+        failures: Consecutive runs that failed.
+        backoff_until: End of its ejection after failures, monotonic seconds.
     """
 
     heard_at: float | None = None
@@ -39,7 +40,7 @@
 
 
 def note_report(evidence: Evidence, now: float, report: Report) -> None:
-    """Take note of a report."""
+    """Record a report."""
     last = evidence.report
     evidence.report = report
     evidence.heard_at = now
@@ -51,31 +52,43 @@
 
 
 def note_failure(evidence: Evidence, now: float) -> None:
-    """Take note of a run that broke off at the target."""
+    """Record a run that failed at the target."""
     evidence.failures += 1
-    if evidence.failures >= SUSPECT_FAILURES:
-        doublings = evidence.failures - SUSPECT_FAILURES
-        rest = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**doublings)
-        evidence.backoff_until = now + rest
+    if evidence.failures >= FAILURES_BEFORE_BACKOFF:
+        doublings = evidence.failures - FAILURES_BEFORE_BACKOFF
+        backoff_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**doublings)
+        evidence.backoff_until = now + backoff_s
 
 
 def note_success(evidence: Evidence) -> None:
-    """Take note of a run that came to its end at the target."""
+    """Record a run that completed at the target."""
     evidence.failures = 0
     evidence.backoff_until = 0.0
 
 
-def note_process_pause(evidence: Evidence, now: float, held_s: float) -> None:
-    """Take note that nothing could be heard for so many seconds until now."""
+def note_process_pause(evidence: Evidence, now: float, paused_s: float) -> None:
+    """Record that this process was paused and could receive nothing.
+
+    Args:
+        evidence: What is known of the target.
+        now: The current time, at which the pause has just ended, monotonic seconds.
+        paused_s: Duration of the pause, seconds.
+    """
     if evidence.heard_at is not None:
-        evidence.heard_at = min(now, evidence.heard_at + held_s)
+        evidence.heard_at = min(now, evidence.heard_at + paused_s)
 
 
 def may_get_work(evidence: Evidence, now: float, leaving_after_s: float) -> bool:
-    """Whether a target may be offered new work.
+    """Return whether a target may be offered new work.
+
+    The earliest of three signals ends that: the agent's own notice, the agent's
+    timeout, or the platform's list. After an ejection requests may try the target
+    again; one more failure ejects it for longer.
 
-    Whichever comes first ends it: the agent's own notice, its silence, or the
-    platform's list. After a rest for failures one request at a time may try it.
+    Args:
+        evidence: What is known of the target.
+        now: The current time, monotonic seconds.
+        leaving_after_s: Timeout of the agent, seconds.
     """
     report = evidence.report
     if report is None or evidence.heard_at is None:
--- a/src/robinspindle/core/selection.py
+++ b/src/robinspindle/core/selection.py
@@ -1,4 +1,4 @@
-"""Which target of a plain service gets a request."""
+"""Selects the target of a plain service that gets a request."""
 
 import random
 
@@ -6,31 +6,31 @@
 from robinspindle.core.targets import Target
 
 FAULT_WEIGHT = 4.0
-"""Requests in flight that a target which only fails seems to have more, times its
-slots: a target that fails a quarter of its requests counts as full."""
+"""Cost of a target all of whose answers are faulty, in requests in flight per slot: a
+target that fails a quarter of its requests counts as full."""
 
-FAR_WEIGHT = 0.5
-"""Requests in flight that another availability zone counts for: its round trip of
-3 ms is about a seventh of a usual call, and its bytes have a price."""
+CROSS_ZONE_WEIGHT = 0.5
+"""Cost of another availability zone, in requests in flight: its round trip of 3 ms is
+about a seventh of a usual call, and traffic between zones is charged for."""
 
 
 def choose_target(
     targets: list[Target], zone: str, now: float, rng: random.Random
 ) -> Target:
-    """Choose the target that seems the least busy, seen from one zone.
+    """Choose the target with the least cost, as seen from one availability zone.
 
     Args:
-        targets: Those that may get the request; at least one.
-        zone: The entry's availability zone.
-        now: The present time, steady seconds.
-        rng: Chooses among equals.
+        targets: The targets that may get the request; at least one.
+        zone: The gateway's availability zone.
+        now: The current time, monotonic seconds.
+        rng: Chooses among targets of equal cost.
     """
 
-    def weigh(target: Target) -> float:
+    def compute_cost(target: Target) -> float:
         announced = target.announced
-        far = FAR_WEIGHT if announced.zone != zone else 0.0
+        cross_zone = CROSS_ZONE_WEIGHT if announced.zone != zone else 0.0
         busy = (target.in_flight + 1) * find_slowness(target, now)
-        return busy + far + FAULT_WEIGHT * target.faults * announced.slots
+        return busy + cross_zone + FAULT_WEIGHT * target.faults * announced.slots
 
-    least = min(weigh(target) for target in targets)
-    return rng.choice([target for target in targets if weigh(target) <= least])
+    least = min(compute_cost(target) for target in targets)
+    return rng.choice([target for target in targets if compute_cost(target) <= least])
--- a/src/robinspindle/core/silence.py
+++ b/src/robinspindle/core/silence.py
@@ -1,9 +1,10 @@
-"""Targets that fall silent: noticed by what was to be heard of them by when.
+"""Detects silent targets: those from which nothing came within the expected time.
 
-A target that loses its power or its link says nothing, and connections to it stay
-open. Whoever waits for something of a target says how long it may take; a target is
-silent once nothing at all was heard of it for as long as somebody expected to hear. One
-that is busy with another request is heard by that, so a long wait alone is no silence.
+A target that loses its power or its network link sends nothing, and connections to it
+stay open. Whoever waits for a response from a target states how long it may take. A
+target is silent once nothing at all came from it within the time that any waiting
+request expected. A target that is busy with another request sends something for that
+one, so a long wait alone is no silence.
 """
 
 import math
@@ -11,40 +12,45 @@
 from dataclasses import dataclass, field
 
 MIN_SILENCE_S = 0.6
-"""The shortest silence that is noticed, seconds: several times the longest step of an
-engine that reads a piece of a prompt (0.1 s), and a third of what callers wait."""
+"""Shortest silence that is detected, seconds: several times the longest step of an
+engine that prefills a chunk of a prompt (0.1 s), and a third of the time that callers
+wait."""
 
 PLANNED_FACTOR = 2.0
-"""An answer may begin after this many times what was planned, and an engine that reads
-may be quiet for so many times the work before it: nine in ten readings take less than
-twice what is planned. Without the work 247 readers were wrongly taken as silent on one
-day, and the prompts begun there read for nothing."""
+"""Ratio of the timeout for the start of an answer to its planned time; the time by
+which a prefill engine may stay quiet grows by this many times its backlog. Nine in ten
+prefills take less than twice their planned time. Without the backlog, 247 prefill
+engines were wrongly considered silent in one day, and the prefills that had begun there
+were wasted."""
 
 LOST_FACTOR = 3.0
 LOST_S = 0.8
-"""An answer that took so many times what was planned, and the second more, is lost: a
-target may run a request, or read a prompt, and its answer never come. On a day on which
-three in ten answers of half of the engines were lost for 6 s, 55 prompts that had been
-read were waited for until their callers left. The second is longer than the shortest
-silence, so that a target which says nothing at all is first taken as silent."""
+"""An answer is lost once it took `LOST_FACTOR` times its planned time, and `LOST_S`
+seconds more. A target may run a request, or prefill a prompt, and its answer may never
+arrive: on a day on which 30% of the answers of half of the engines were lost for 6 s,
+the gateways waited for 55 prompts that had been prefilled until their callers gave up.
+`LOST_S` is longer than the shortest silence, so that a target that sends nothing at all
+is detected as silent first."""
 
 GAP_FACTOR = 2.5
-"""The next event may take this many times the pause that is in time."""
+"""Ratio of the next event's timeout to the longest gap that meets the deadline."""
 
 
 @dataclass(eq=False)
 class ExpectedResponse:
-    """Something that is to be heard of a target.
+    """A response that a request waits for.
 
     Attributes:
-        since: When the wait began, or the last part of the answer came, steady seconds.
-        silent_after_s: How long it may take, seconds.
-        abandon: Called when the target is silent, if the request may go elsewhere; None
-            if it has to wait.
-        lost_after_s: How long it may take at the most, seconds, also where the target
-            is heard of otherwise: then this one answer is lost.
-        end: Called when the target's life is known to be over, whether or not the
-            request may go elsewhere: nothing more will come.
+        since: Start of the wait, or time of the last part of the answer, monotonic
+            seconds.
+        silent_after_s: Time after which the target counts as silent if nothing at all
+            came from it, seconds.
+        abandon: Called when the target is silent or the answer is lost, if the request
+            may be sent to another target; None if it has to wait.
+        lost_after_s: Time after which this answer counts as lost even though data comes
+            from the target, seconds.
+        end: Called when the target's lifetime is known to have ended, whether or not
+            the request may be sent to another target: nothing more will come.
     """
 
     since: float
@@ -56,12 +62,13 @@
 
 @dataclass
 class Liveness:
-    """What is heard of one target, and what is expected.
+    """What came from one target, and what is expected from it.
 
     Attributes:
-        heard_at: When anything was last heard of it, steady seconds.
-        expected: What is expected.
-        silent_since: From when it has been silent; None if it is not.
+        heard_at: Time when data last came from it, monotonic seconds.
+        expected: The expected responses.
+        silent_since: Time since which it is silent, monotonic seconds; None if it is
+            not.
     """
 
     heard_at: float = -math.inf
@@ -70,28 +77,48 @@
 
 
 def find_first_event_timeout(planned_s: float) -> float:
-    """Find how long an answer that was planned to take so long may take to begin."""
+    """Return the timeout for the first event of an answer, seconds.
+
+    Args:
+        planned_s: Planned time until the first event, seconds.
+    """
     return max(MIN_SILENCE_S, PLANNED_FACTOR * planned_s)
 
 
 def find_lost_timeout(planned_s: float) -> float:
-    """Find after how long an answer that was planned to take so long must be lost."""
+    """Return the time after which an answer counts as lost, seconds.
+
+    Args:
+        planned_s: Planned time, seconds.
+    """
     return LOST_S + LOST_FACTOR * planned_s
 
 
 def find_next_event_timeout(gap_s: float) -> float:
-    """Find how long the next event may take where such a pause is in time, seconds."""
+    """Return the timeout for the next event of an answer, seconds.
+
+    Args:
+        gap_s: Longest gap between two events that meets the deadline, seconds.
+    """
     return max(MIN_SILENCE_S, GAP_FACTOR * gap_s)
 
 
 def note_pause(liveness: Liveness, now: float) -> None:
-    """Take note that nothing could be heard until now: all waits begin anew."""
+    """Restart all waits after a time in which this process could receive nothing."""
     for expected in liveness.expected:
         expected.since = max(expected.since, now)
 
 
 def note_heard(liveness: Liveness, now: float) -> bool:
-    """Take note that something came; whether a target that was silent is so no more."""
+    """Record that data came from a target.
+
+    Args:
+        liveness: The liveness of the target.
+        now: Time when the data came, monotonic seconds.
+
+    Returns:
+        Whether the target was silent until then.
+    """
     liveness.heard_at = now
     ends_silence = liveness.silent_since is not None and now > liveness.silent_since
     if ends_silence:
@@ -100,14 +127,14 @@
 
 
 def is_overdue(liveness: Liveness, now: float, backlog_s: float = 0.0) -> bool:
-    """Whether nothing was heard for as long as somebody expected to hear.
+    """Return whether nothing came within the time that a request expected.
 
-    Of a target that is silent already only what was sent to it since says anything new.
+    For a target that is silent already, only requests sent to it since then count.
 
     Args:
-        liveness: What is heard of the target.
-        now: The present time, steady seconds.
-        backlog_s: Seconds of reading that are before an engine, for all entries.
+        liveness: The liveness of the target.
+        now: The current time, monotonic seconds.
+        backlog_s: Prefill backlog of an engine from all gateways, seconds.
     """
     since = liveness.silent_since
     busy_s = PLANNED_FACTOR * backlog_s
@@ -119,22 +146,22 @@
 
 
 def note_silent(liveness: Liveness, now: float) -> None:
-    """Take note that a target is silent."""
+    """Record that a target is silent."""
     liveness.silent_since = now
 
 
 def list_abandon_callbacks(liveness: Liveness) -> list[Callable[[], None]]:
-    """List how the requests that may go elsewhere leave a silent target."""
+    """List the callbacks by which requests abandon a silent target."""
     return [e.abandon for e in liveness.expected if e.abandon is not None]
 
 
 def list_end_callbacks(liveness: Liveness) -> list[Callable[[], None]]:
-    """List how the requests end that wait for a target whose life is over."""
+    """List the callbacks for requests to a target whose lifetime has ended."""
     return [e.end for e in liveness.expected if e.end is not None]
 
 
 def list_lost_callbacks(liveness: Liveness, now: float) -> list[Callable[[], None]]:
-    """List how those leave whose answers must be lost, though the target is heard."""
+    """List the callbacks by which requests abandon answers that count as lost."""
     return [
         expected.abandon
         for expected in liveness.expected
--- a/src/robinspindle/core/subsets.py
+++ b/src/robinspindle/core/subsets.py
@@ -1,4 +1,4 @@
-"""Subsets: which targets of a pool an entry speaks to, so that meshes stay small."""
+"""Subsets: the targets of a pool that an entry connects to, which bounds the mesh."""
 
 import hashlib
 
@@ -6,8 +6,8 @@
 def choose_subset(entry: str, targets: list[str], size: int) -> list[str]:
     """Choose an entry's targets by rendezvous hashing.
 
-    A target that comes or goes changes one place in the subset of the entries that
-    had it, and nothing for the others.
+    A target that joins or leaves changes one member in the subsets of the entries that
+    had it, and none in the others.
 
     Args:
         entry: The entry's name.
@@ -19,9 +19,9 @@
     """
     if size <= 0 or len(targets) <= size:
         return sorted(targets)
-    ranked = sorted(targets, key=lambda name: _weigh(entry, name), reverse=True)
+    ranked = sorted(targets, key=lambda name: _hash_pair(entry, name), reverse=True)
     return sorted(ranked[:size])
 
 
-def _weigh(entry: str, target: str) -> bytes:
+def _hash_pair(entry: str, target: str) -> bytes:
     return hashlib.blake2b(f"{entry}\0{target}".encode(), digest_size=8).digest()
--- a/src/robinspindle/core/targets.py
+++ b/src/robinspindle/core/targets.py
@@ -1,8 +1,9 @@
-"""Targets as one entry knows them: announced, leaving, failing, at work.
+"""A gateway's view of targets: announced, leaving, failing or serving.
 
-The platform's list says who exists; what this entry has seen itself decides whom it
-uses. A target's entry may lapse while the platform's store is away although the target
-serves on, so absence is only believed once the store has been back for a while.
+The platform's list announces which targets exist; the gateway's own observations
+decide which of them it uses. A target's entry may expire while the platform's store is
+unavailable although the target still serves, so a missing entry counts only once the
+store has been available again for a while.
 """
 
 from collections import OrderedDict
@@ -12,27 +13,26 @@
 from robinspindle.core.silence import Liveness
 
 RETURN_S = 2.0
-"""How long after the store's return entries that lapsed may still come back, seconds:
-the platform's own promise."""
+"""Time after the store recovers within which expired entries may reappear, seconds; the
+platform guarantees it."""
 
-MOST_IDS = 4096
-"""Ids whose newest lifetime is remembered; more than have entries at a time."""
+MAX_REMEMBERED_IDS = 4096
+"""Target ids whose latest lifetime is remembered; more than have entries at a time."""
 
 
 @dataclass(frozen=True)
 class Announcement:
-    """What the platform's list says of a target.
+    """An entry of the platform's list about a target.
 
     Attributes:
-        lifetime: This start of the target (`core.lives`).
-        service: Its service.
+        lifetime: The lifetime of the target (see `core.lifetimes`).
+        service: The service that it belongs to.
         address: IP:PORT.
         zone: Its availability zone.
-        slots: Requests that it works on at once.
+        slots: Requests that it processes concurrently.
         leaving: Whether it is about to leave.
         role: ``prefill``, ``decode`` or empty for a plain service.
-        cold_s: How much longer it stays slow from its start, seconds, when it wrote
-            the entry.
+        cold_s: Remaining warm-up time after its start when it wrote the entry, seconds.
     """
 
     lifetime: str
@@ -50,20 +50,22 @@
     """One lifetime of a target.
 
     Attributes:
-        announced: What the list says.
-        in_flight: Requests of this entry that are under way there.
-        failures: Broken connections in a row.
-        backoff_until: Until when it is put aside, steady seconds.
-        faults: Share of its latest answers that were faults, 0 to 1.
-        full_until: Until when it is taken as full, steady seconds.
-        gone_at: From when it is taken as gone, steady seconds; None while listed.
-        replaced: Whether its address answers for another lifetime.
-        is_unreadable: Whether its entry can't be used at present.
-        switching_to: The role that it was ordered to take, empty for none.
-        switching_until: Until when it may be away for that, steady seconds.
-        cold_until: Until when it is slow from its start, steady seconds.
-        liveness: What is heard of it.
-        refusals: Requests that it turned away since its last answer.
+        announced: The latest entry of the platform's list.
+        in_flight: Requests of this gateway that are in progress there.
+        failures: Consecutive connection failures.
+        backoff_until: End of its backoff, monotonic seconds.
+        faults: Moving average of the share of faulty answers, 0 to 1.
+        full_until: Time until which it counts as full, monotonic seconds.
+        gone_at: Time from which it counts as gone, monotonic seconds; None while it is
+            listed.
+        replaced: Whether another lifetime answers at its address.
+        is_unreadable: Whether its entry is invalid at present.
+        switching_to: The role that it was ordered to change to; empty for none.
+        switching_until: Time until which it may be unavailable for the role change,
+            monotonic seconds.
+        cold_until: End of its warm-up, monotonic seconds.
+        liveness: What was received from it, and the responses expected from it.
+        refusals: Consecutive requests that it rejected as full.
     """
 
     announced: Announcement
@@ -84,41 +86,45 @@
 
 @dataclass
 class Directory:
-    """All targets that one entry knows.
+    """All targets that a gateway knows.
 
     Attributes:
-        targets: By lifetime.
-        newest: The newest lifetime of each id that had an entry, latest last.
-        unavailable_since: Since when the store has been away; None while it answers.
-        recovered_at: When the store last came back, steady seconds.
-        known: Whether the list has been read at all.
-        read_at: When it was last read, steady seconds.
-        over: Lifetimes that are over as far as is known, latest last.
-        reads_copy: Whether entries are read from a copy that the store returned from,
-            and may be older than what is known.
-        missing_grace_s: How long a target whose entry went is still used where there is
-            no other, seconds; less than it may take to stop using a leaving one.
+        targets: Targets by lifetime.
+        newest_lifetimes: The latest lifetime of each id that had an entry, the most
+            recently announced one last.
+        unavailable_since: Start of the store's outage, monotonic seconds; None while
+            the store is available.
+        recovered_at: Time when the store last recovered, monotonic seconds.
+        known: Whether the list has been read at least once.
+        read_at: Time of the last read of the list, monotonic seconds.
+        ended_lifetimes: Lifetimes that are known to have ended, most recent last.
+        is_restored: Whether the entries are read from a store that was restored from a
+            backup, and may be older than what is known.
+        missing_grace_s: Time for which a target whose entry is gone is still used if
+            there is no other, seconds; shorter than the time that the platform allows
+            for stopping to use a leaving target.
     """
 
     targets: dict[str, Target] = field(default_factory=dict)
-    newest: OrderedDict[str, str] = field(default_factory=OrderedDict)
+    newest_lifetimes: OrderedDict[str, str] = field(default_factory=OrderedDict)
     unavailable_since: float | None = None
     recovered_at: float = -RETURN_S
     known: bool = False
     read_at: float = 0.0
-    over: OrderedDict[str, None] = field(default_factory=OrderedDict)
-    reads_copy: bool = False
+    ended_lifetimes: OrderedDict[str, None] = field(default_factory=OrderedDict)
+    is_restored: bool = False
     missing_grace_s: float = 1.0
 
 
 @dataclass(frozen=True)
 class AnnouncementResult:
-    """What became of a target's entry.
+    """The result of applying an entry.
 
     Attributes:
-        is_superseded: Whether it speaks of a life that is over, and was passed over.
-        is_news: Whether it changes what is believed.
-        ended: Earlier lifetimes of its id that are over by what it says.
+        is_superseded: Whether the entry is about a lifetime that has ended, and was
+            ignored.
+        is_news: Whether it changed the directory.
+        ended: Earlier lifetimes of the same id that ended because of the entry.
     """
 
     is_superseded: bool = False
@@ -129,40 +135,40 @@
 def apply_announcement(
     directory: Directory, announced: Announcement, now: float
 ) -> AnnouncementResult:
-    """Take a target's entry in.
+    """Apply an entry of the platform's list.
 
     Args:
-        directory: What is known of targets.
-        announced: What the entry says.
-        now: The present time, steady seconds.
+        directory: The known targets.
+        announced: The content of the entry.
+        now: The current time, monotonic seconds.
     """
     if is_superseded(directory, announced.lifetime):
         return AnnouncementResult(is_superseded=True)
-    if directory.reads_copy and _is_over(directory, announced.lifetime, now):
-        # One that lives after all writes its entry again within a heartbeat.
+    if directory.is_restored and _is_over(directory, announced.lifetime, now):
+        # A target that is still alive writes its entry again within a heartbeat.
         return AnnouncementResult(is_superseded=True)
-    directory.over.pop(announced.lifetime, None)
+    directory.ended_lifetimes.pop(announced.lifetime, None)
     ended = end_earlier_lifetimes(directory, announced.lifetime, now)
     is_news = note_announced(directory, announced, now)
     return AnnouncementResult(is_news=is_news, ended=tuple(ended))
 
 
 def is_superseded(directory: Directory, lifetime: str) -> bool:
-    """Whether a target was known to have started again since a lifetime began."""
-    newest = directory.newest.get(find_id(lifetime))
+    """Return whether a later lifetime of the same target is known."""
+    newest = directory.newest_lifetimes.get(find_id(lifetime))
     return newest not in (None, lifetime) and not is_later(lifetime, newest)
 
 
 def note_announced(directory: Directory, announced: Announcement, now: float) -> bool:
-    """Take note of a target's entry.
+    """Record an entry of the platform's list.
 
     Args:
-        directory: What is known of targets.
-        announced: What the entry says; its lifetime is not outlived.
-        now: The present time, steady seconds.
+        directory: The known targets.
+        announced: The content of the entry; its lifetime must not be superseded.
+        now: The current time, monotonic seconds.
 
     Returns:
-        Whether it changes what is believed.
+        Whether it changed the directory.
     """
     lifetime = announced.lifetime
     _note_newest(directory, lifetime)
@@ -176,7 +182,8 @@
     changed = changed or target.is_unreadable
     target.is_unreadable = False
     if target.announced.leaving and not announced.leaving:
-        # A notice to leave is never taken back; an older entry may come late.
+        # A target never revokes its notice to leave; this entry is an older one that
+        # arrived late.
         return False
     target.announced = announced
     target.cold_until = cold_until
@@ -187,16 +194,19 @@
 def end_earlier_lifetimes(
     directory: Directory, lifetime: str, now: float
 ) -> list[Target]:
-    """Take the earlier lifetimes of an id as gone, and return those that were not.
+    """Mark the earlier lifetimes of an id as gone.
 
     Args:
-        directory: What is known of targets.
+        directory: The known targets.
         lifetime: The lifetime that has begun.
-        now: The present time, steady seconds.
+        now: The current time, monotonic seconds.
+
+    Returns:
+        The earlier lifetimes that weren't gone before.
     """
     earlier = [
         target
-        for target in list_lives(directory, find_id(lifetime))
+        for target in list_lifetimes(directory, find_id(lifetime))
         if is_later(lifetime, target.announced.lifetime) and not is_gone(target, now)
     ]
     for target in earlier:
@@ -204,8 +214,8 @@
     return earlier
 
 
-def list_lives(directory: Directory, id: str) -> list[Target]:
-    """List the lifetimes of an id that are known."""
+def list_lifetimes(directory: Directory, id: str) -> list[Target]:
+    """List the known lifetimes of an id."""
     return [
         target
         for lifetime, target in directory.targets.items()
@@ -214,26 +224,27 @@
 
 
 def note_unreadable(directory: Directory, id: str) -> bool:
-    """Take note that an id's entry names no target to use.
+    """Record that an id's entry is invalid.
 
-    What is under way there goes on; nothing new is sent until the entry is good again.
+    Requests in progress there continue; no new ones are sent until the entry is valid
+    again.
 
     Returns:
-        Whether it changes what is believed.
+        Whether it changed the directory.
     """
-    lives = [t for t in list_lives(directory, id) if not t.is_unreadable]
-    for target in lives:
+    lifetimes = [t for t in list_lifetimes(directory, id) if not t.is_unreadable]
+    for target in lifetimes:
         target.is_unreadable = True
-    return bool(lives)
+    return bool(lifetimes)
 
 
 def note_missing(directory: Directory, now: float, id: str) -> bool:
-    """Take note that an id's entry is gone.
+    """Record that an id's entry is gone.
 
     Returns:
-        Whether it changes what is believed.
+        Whether it changed the directory.
     """
-    missing = [t for t in list_lives(directory, id) if t.gone_at is None]
+    missing = [t for t in list_lifetimes(directory, id) if t.gone_at is None]
     for target in missing:
         target.gone_at = max(
             now + directory.missing_grace_s, directory.recovered_at + RETURN_S
@@ -242,14 +253,14 @@
 
 
 def _note_newest(directory: Directory, lifetime: str) -> None:
-    directory.newest[find_id(lifetime)] = lifetime
-    directory.newest.move_to_end(find_id(lifetime))
-    while len(directory.newest) > MOST_IDS:
-        directory.newest.popitem(last=False)
+    directory.newest_lifetimes[find_id(lifetime)] = lifetime
+    directory.newest_lifetimes.move_to_end(find_id(lifetime))
+    while len(directory.newest_lifetimes) > MAX_REMEMBERED_IDS:
+        directory.newest_lifetimes.popitem(last=False)
 
 
 def note_store_unavailable(directory: Directory, now: float) -> bool:
-    """Take note that the store does not answer; whether that is news."""
+    """Record that the store doesn't respond; return whether it did before."""
     if directory.unavailable_since is not None:
         return False
     directory.unavailable_since = now
@@ -257,7 +268,7 @@
 
 
 def note_store_recovered(directory: Directory, now: float) -> bool:
-    """Take note that the store answers again; whether that is news."""
+    """Record that the store responds; return whether it was unavailable before."""
     if directory.unavailable_since is None:
         return False
     directory.unavailable_since = None
@@ -266,32 +277,34 @@
 
 
 def note_store_restored(directory: Directory, now: float) -> None:
-    """Take note that the store has returned from a copy.
+    """Record that the store was restored from a backup.
 
-    Entries that it lost are written again within `RETURN_S`; those of targets that have
-    ended since are back in it for a while.
+    Entries that it lost are written again within `RETURN_S`. Entries of targets that
+    have ended since the backup reappear in it for a while.
     """
     directory.recovered_at = now
-    directory.reads_copy = True
+    directory.is_restored = True
 
 
 def note_restored_list_read(directory: Directory) -> None:
-    """Take note that all entries of the copy have been read."""
-    directory.reads_copy = False
+    """Record that all entries of the restored store have been read."""
+    directory.is_restored = False
 
 
 def _is_over(directory: Directory, lifetime: str, now: float) -> bool:
     target = directory.targets.get(lifetime)
-    return lifetime in directory.over or (target is not None and is_gone(target, now))
+    return lifetime in directory.ended_lifetimes or (
+        target is not None and is_gone(target, now)
+    )
 
 
 def is_gone(target: Target, now: float) -> bool:
-    """Whether a target whose entry is missing is to be taken as gone."""
+    """Return whether a target whose entry is missing counts as gone."""
     return target.gone_at is not None and now >= target.gone_at
 
 
 def drop_gone(directory: Directory, now: float) -> list[Target]:
-    """Forget targets that are gone and have nothing under way, and return them."""
+    """Remove and return the targets that are gone and have no request in progress."""
     gone = [
         target
         for target in directory.targets.values()
@@ -300,7 +313,7 @@
     for target in gone:
         lifetime = target.announced.lifetime
         del directory.targets[lifetime]
-        directory.over[lifetime] = None
-    while len(directory.over) > MOST_IDS:
-        directory.over.popitem(last=False)
+        directory.ended_lifetimes[lifetime] = None
+    while len(directory.ended_lifetimes) > MAX_REMEMBERED_IDS:
+        directory.ended_lifetimes.popitem(last=False)
     return gone
--- a/tests/core/test_selection.py
+++ b/tests/core/test_selection.py
@@ -19,16 +19,16 @@
     assert choose(make("i1", in_flight=2), make("i2", in_flight=1)) == "i2"
 
 
-def test_among_equals_the_own_zone_and_busy_ones_there_are_left():
+def test_the_own_zone_is_preferred_unless_its_targets_are_busier():
     assert choose(make("i1", zone="b"), make("i2")) == "i2"
     assert choose(make("i1", zone="b"), make("i2", in_flight=1)) == "i1"
 
 
-def test_a_target_that_fails_seems_busy():
+def test_faulty_answers_raise_the_cost_of_a_target():
     assert choose(make("i1", faults=0.4), make("i2", in_flight=3)) == "i2"
 
 
-def test_a_target_that_is_slow_from_its_start_seems_busy():
+def test_the_warm_up_raises_the_cost_of_a_target():
     cold = make("i1", cold_until=6.0)
     assert choose(cold, make("i2")) == "i2"
     assert choose(cold, make("i2", in_flight=1)) == "i1"
--- a/tests/core/test_silence.py
+++ b/tests/core/test_silence.py
@@ -7,25 +7,25 @@
     return Target(Announcement("t1", "s", "x:1", "a", 8))
 
 
-def test_a_target_of_which_nothing_is_expected_is_not_silent():
+def test_a_target_without_expected_responses_is_not_silent():
     assert not silence.is_overdue(Liveness(heard_at=0.0), 100.0)
 
 
-def test_what_is_heard_of_one_request_excuses_the_others():
+def test_data_for_one_request_counts_for_all():
     liveness = Liveness(expected={ExpectedResponse(0.0, 0.6)})
     silence.note_heard(liveness, 0.5)
     assert not silence.is_overdue(liveness, 1.0)
     assert silence.is_overdue(liveness, 1.2)
 
 
-def test_an_engine_may_be_quiet_for_as_long_as_it_has_to_read():
+def test_the_timeout_grows_with_the_prefill_backlog():
     liveness = Liveness(expected={ExpectedResponse(0.0, 0.6)})
     assert silence.is_overdue(liveness, 1.0)
     assert not silence.is_overdue(liveness, 1.0, backlog_s=0.3)
     assert silence.is_overdue(liveness, 1.3, backlog_s=0.3)
 
 
-def test_a_silent_target_rests_and_is_used_again_when_it_is_heard():
+def test_a_silent_target_is_in_backoff_until_data_comes():
     target = make_target()
     health.note_silent(target, 1.0)
     assert not health.is_healthy(target, 1.1)
@@ -34,7 +34,7 @@
     assert target.liveness.silent_since is None
 
 
-def test_old_news_does_not_wake_a_silent_target():
+def test_data_from_before_the_silence_does_not_end_it():
     target = make_target()
     health.note_silent(target, 1.0)
     health.note_heard(target, 0.4)
@@ -42,7 +42,7 @@
     assert not health.is_healthy(target, 1.1)
 
 
-def test_of_a_silent_target_only_what_was_sent_since_says_anything_new():
+def test_for_a_silent_target_only_requests_sent_since_count():
     liveness = Liveness(expected={ExpectedResponse(0.0, 0.6)})
     silence.note_silent(liveness, 1.0)
     assert not silence.is_overdue(liveness, 5.0)
@@ -50,7 +50,7 @@
     assert silence.is_overdue(liveness, 5.0)
 
 
-def test_a_peers_word_counts_unless_the_target_was_heard_since():
+def test_a_peers_report_counts_unless_data_came_recently():
     target = make_target()
     target.liveness.heard_at = 1.0
     assert not health.note_reported_silent(target, 1.5)
@@ -59,7 +59,7 @@
     assert not health.is_healthy(target, 1.7)
 
 
-def test_requests_that_may_go_elsewhere_are_listed():
+def test_requests_that_may_be_sent_elsewhere_are_listed():
     left = []
     liveness = Liveness()
     liveness.expected = {
@@ -71,14 +71,14 @@
     assert left == ["resumable"]
 
 
-def test_what_is_expected_grows_with_what_was_planned():
+def test_timeouts_grow_with_the_planned_time():
     assert silence.find_first_event_timeout(0.01) == silence.MIN_SILENCE_S
     assert silence.find_first_event_timeout(1.0) == 2.0
     assert silence.find_next_event_timeout(0.1) == silence.MIN_SILENCE_S
     assert silence.find_next_event_timeout(1.0) == 2.5
 
 
-def test_an_answer_that_is_long_overdue_is_lost_though_its_target_is_heard():
+def test_a_long_overdue_answer_is_lost_though_data_comes_from_its_target():
     left = []
     liveness = Liveness(heard_at=9.9)
     liveness.expected = {
--- a/tests/core/test_targets.py
+++ b/tests/core/test_targets.py
@@ -10,12 +10,12 @@
     return targets.note_announced(directory, announced, now)
 
 
-def usable(directory, now, tried=()):
+def list_usable_lifetimes(directory, now, tried=()):
     found = health.list_usable(directory, "s", now, set(tried))
     return sorted(target.announced.lifetime for target in found)
 
 
-def test_an_entry_is_news_once():
+def test_an_unchanged_entry_changes_nothing():
     directory = Directory()
     assert announce(directory)
     assert not announce(directory)
@@ -27,71 +27,71 @@
     announce(directory)
     announce(directory, leaving=True)
     assert not announce(directory)
-    assert usable(directory, 0.0) == []
+    assert list_usable_lifetimes(directory, 0.0) == []
 
 
-def test_a_missing_target_is_used_only_where_there_is_no_other_and_then_dropped():
+def test_a_missing_target_is_used_only_as_the_last_one_and_then_dropped():
     directory = Directory(missing_grace_s=0.7)
     announce(directory, "i1")
     announce(directory, "i2")
     targets.note_missing(directory, 10.0, "i1")
-    assert usable(directory, 10.1) == ["i2"]
-    assert usable(directory, 10.1, ["i2"]) == ["i1"]
-    assert usable(directory, 10.8, ["i2"]) == []
+    assert list_usable_lifetimes(directory, 10.1) == ["i2"]
+    assert list_usable_lifetimes(directory, 10.1, ["i2"]) == ["i1"]
+    assert list_usable_lifetimes(directory, 10.8, ["i2"]) == []
     assert [t.announced.lifetime for t in targets.drop_gone(directory, 10.8)] == ["i1"]
 
 
-def test_a_lapsed_entry_counts_until_two_seconds_after_the_stores_return():
+def test_an_expired_entry_counts_until_two_seconds_after_the_store_recovered():
     directory = Directory(missing_grace_s=0.7)
     announce(directory)
     assert targets.note_store_unavailable(directory, 5.0)
     assert not targets.note_store_unavailable(directory, 6.0)
     assert targets.note_store_recovered(directory, 20.0)
     targets.note_missing(directory, 20.0, "i1")
-    assert usable(directory, 21.9) == ["i1"]
-    assert usable(directory, 22.0) == []
+    assert list_usable_lifetimes(directory, 21.9) == ["i1"]
+    assert list_usable_lifetimes(directory, 22.0) == []
     announce(directory)
-    assert usable(directory, 30.0) == ["i1"]
+    assert list_usable_lifetimes(directory, 30.0) == ["i1"]
 
 
-def test_a_broken_target_rests_and_the_rest_ends():
+def test_connection_failures_start_a_backoff_that_ends():
     directory = Directory()
     announce(directory, "i1")
     announce(directory, "i2")
     bad = directory.targets["i1"]
     health.note_broken(bad, 0.0)
-    assert usable(directory, 0.1) == ["i1", "i2"]
+    assert list_usable_lifetimes(directory, 0.1) == ["i1", "i2"]
     health.note_broken(bad, 0.1)
-    assert usable(directory, 0.2) == ["i2"]
-    assert usable(directory, 0.2 + health.MAX_BACKOFF_S) == ["i1", "i2"]
+    assert list_usable_lifetimes(directory, 0.2) == ["i2"]
+    assert list_usable_lifetimes(directory, 0.2 + health.MAX_BACKOFF_S) == ["i1", "i2"]
 
 
-def test_a_target_at_whose_address_nobody_listens_rests_at_once():
+def test_a_refused_connection_starts_a_backoff_at_once():
     directory = Directory()
     announce(directory, "i1")
     announce(directory, "i2")
     health.note_refused(directory.targets["i1"], 0.0)
-    assert usable(directory, 0.1) == ["i2"]
+    assert list_usable_lifetimes(directory, 0.1) == ["i2"]
 
 
-def test_where_all_rest_all_are_tried():
+def test_if_all_targets_are_in_backoff_all_are_tried():
     directory = Directory()
     announce(directory)
     health.note_refused(directory.targets["i1"], 0.0)
-    assert usable(directory, 0.1) == ["i1"]
+    assert list_usable_lifetimes(directory, 0.1) == ["i1"]
 
 
-def test_a_full_target_is_passed_over_for_a_moment():
+def test_a_full_target_is_not_used_for_a_moment():
     directory = Directory()
     announce(directory, "i1")
     announce(directory, "i2")
     health.note_full(directory.targets["i1"], 0.0)
-    assert usable(directory, 0.01) == ["i2"]
-    assert usable(directory, 0.06) == ["i1", "i2"]
+    assert list_usable_lifetimes(directory, 0.01) == ["i2"]
+    assert list_usable_lifetimes(directory, 0.06) == ["i1", "i2"]
 
 
 @given(st.lists(st.booleans(), max_size=60))
-def test_the_share_of_faults_stays_a_share(outcomes):
+def test_the_share_of_faults_stays_between_0_and_1(outcomes):
     directory = Directory()
     announce(directory)
     target = directory.targets["i1"]
@@ -101,7 +101,7 @@
 
 
 @given(st.lists(st.floats(0.0, 100.0), max_size=30))
-def test_a_rest_is_never_longer_than_the_longest(times):
+def test_a_backoff_never_exceeds_the_maximum(times):
     directory = Directory()
     announce(directory)
     target = directory.targets["i1"]
@@ -110,7 +110,7 @@
         assert target.backoff_until <= now + health.MAX_BACKOFF_S
 
 
-def test_a_target_is_slow_for_as_long_as_its_entry_says():
+def test_a_target_is_slow_during_the_warm_up_that_its_entry_states():
     directory = Directory()
     announce(directory, now=10.0, cold_s=2.0)
     target = directory.targets["i1"]
@@ -120,17 +120,17 @@
     assert health.find_slowness(target, 11.3) == 1.0
 
 
-def test_a_target_that_turns_requests_away_rests_longer_each_time():
+def test_the_backoff_doubles_with_each_rejection():
     directory = Directory()
     announce(directory)
     target = directory.targets["i1"]
-    rests = []
+    backoffs = []
     for _ in range(8):
         health.note_full(target, 0.0)
-        rests.append(target.full_until)
-    assert rests[0] == health.FIRST_FULL_BACKOFF_S
-    assert rests == sorted(rests)
-    assert rests[-1] == health.MAX_FULL_BACKOFF_S
+        backoffs.append(target.full_until)
+    assert backoffs[0] == health.FIRST_FULL_BACKOFF_S
+    assert backoffs == sorted(backoffs)
+    assert backoffs[-1] == health.MAX_FULL_BACKOFF_S
     health.note_answered(target)
     health.note_full(target, 10.0)
     assert target.full_until == 10.0 + health.FIRST_FULL_BACKOFF_S
