--- a/src/robinspindle/core/engines.py
+++ b/src/robinspindle/core/engines.py
@@ -1,9 +1,9 @@
-"""What one entry believes of a model engine: its cache, its work, its pace.
+"""A gateway's local view of a model engine: its KV cache, prefill backlog and speed.
 
-An engine's own report is late by some hundred milliseconds, longer than it takes to
-read a prompt. What entries send is known at once and told to the other entries, so the
-belief is built from that: a replay of the engine's cache, least recently used first
-out, and the sum of what is still to be read.
+An engine's own report is late by some hundred milliseconds, longer than the prefill of
+a prompt. A gateway knows at once which prompts it places, and sends that to the other
+gateways, so the view is built from placements: a simulated LRU cache of the engine, and
+the sum of the prefills that are not done yet.
 """
 
 import math
@@ -17,45 +17,49 @@
 from robinspindle.core.priorities import LATE_LEVEL, make_level_sums
 
 SLOWNESS_SMOOTHING = 0.2
-"""Weight of the newest reading in what one engine takes against all of its service:
-about the last five count, so that a slow one is known within a second."""
+"""Weight of the latest sample in an engine's slowness: about the last five count, so
+that a slow engine is detected within a second."""
 
 SLOWNESS_BOUNDS = (0.25, 16.0)
-"""One reading counts for no less and no more than these ratios: beyond, it waited."""
+"""Bounds of the ratio that one sample gives: beyond them, the prefill had to wait."""
 
 UNKNOWN_CACHE_S = 10.0
-"""How long after an entry's start a cache of which nothing was told is not learnt from,
-seconds: what matters of it has been placed anew by then."""
+"""Time after the start of a gateway during which engines whose cache contents it hasn't
+received give no samples, seconds: the parts that matter have been placed anew by
+then."""
 
-WAITED_SMOOTHING = 0.05
-WAITED_BOUNDS = (0.5, 2.0)
-"""Weight and bounds of a reading that waited for others."""
+QUEUED_SMOOTHING = 0.05
+QUEUED_BOUNDS = (0.5, 2.0)
+"""Weight and bounds of a sample whose prefill waited for others."""
 
 CACHE_SHARE = 0.85
-"""Share of an engine's memory that is believed to hold cached parts; the rest is what
-runs."""
+"""Share of an engine's KV cache assumed to hold cached prompt parts; running requests
+occupy the rest."""
 
 
 SHORT_PREFILL_SHARE = 0.6
-"""Share of a gap in which an engine may read beside answers that are short: the rest is
-for the steps that make the next event, about a fifth of a gap on today's engines."""
+"""Share of the gap between two events that an engine may spend on prefills while it
+generates short answers only. The rest is for the decode steps of the next event, about
+a fifth of a gap on current engines."""
 
 RECENT_WINDOW_S = 1.0
-"""How long a reading that was placed is remembered, seconds: several gaps and as many
-readings, so that the share of time that work in time takes can be told."""
+"""Time for which the start of a prefill is remembered, seconds: several gaps between
+events and as many prefills, enough to measure the share of time that prefills of
+higher priority take."""
 
-LEAST_IDLE_SHARE = 0.1
-"""Least share of its time that an engine is believed to have for less urgent work."""
+MIN_IDLE_SHARE = 0.1
+"""Least share of its time that an engine is assumed to have for prefills of lower
+priority."""
 
 
 @dataclass(frozen=True)
 class PrefillStart:
-    """A reading that was placed at an engine.
+    """The start of a prefill at an engine.
 
     Attributes:
-        at: When, steady seconds.
-        seconds: How long it should take.
-        level: How urgent it is.
+        at: Time of the start, monotonic seconds.
+        seconds: Estimated duration, seconds.
+        level: Its priority level.
     """
 
     at: float
@@ -65,36 +69,40 @@
 
 @dataclass
 class Engine:
-    """One engine as one entry believes it to be.
+    """A gateway's local view of one engine.
 
     Attributes:
-        prefill_only: Whether it only reads prompts and generates nothing.
-        cache_tokens: Tokens that its memory holds.
-        prefill_model: How fast engines of its service read in its role; shared by all
-            of them.
-        slowness: How many times longer than that this one takes.
-        cached: Parts in its cache, by id, with their tokens; oldest first.
-        cached_tokens: Their sum.
-        ready_at: From when parts that are being read may be fetched, steady seconds.
-        is_cache_known: Whether it was told what the cache held before this entry began.
-        own_backlog_s: Seconds of reading that this entry sent and that is not done, by
-            level.
-        peer_backlogs_s: The same of the other entries, by name; see
+        prefill_only: Whether it only prefills prompts and generates nothing.
+        cache_tokens: Capacity of its KV cache, tokens.
+        prefill_model: The prefill model of its service and role; engines of the same
+            service and role share it.
+        slowness: Ratio of its prefill times to those of the model.
+        cached: Tokens of the prompt parts in its cache, by part id; least recently used
+            first.
+        cached_tokens: Sum of `cached`, tokens.
+        ready_at: Time from which a part whose prefill is in progress can be transferred
+            to another engine, monotonic seconds, by part id.
+        is_cache_known: Whether the contents that its cache had before this gateway
+            started were received.
+        own_backlog_s: Prefill backlog from this gateway, seconds, by priority level.
+        peer_backlogs_s: The same for the other gateways, by name; see
             `note_peer_backlog`.
-        peers_backlog_s: Its sum over them, by level.
-        peers_in_flight: Requests of the other entries there, by name.
-        slot_hold_s: How long an answer holds its slot there, seconds; 0 for not known.
-        own_long_answers: Long answers of this entry that it generates.
-        peers_long_answers: The same of the other entries, by name.
-        recent_prefills: Readings that were lately placed there.
-        placed: How many prompts were placed there by all entries.
-        event_s: Seconds from event to event of its long answers, as this entry saw.
-        event_at: When that was last seen, steady seconds.
-        own_answers: Answers of this entry that it generates.
-        answer_at: When one of them last got an event, or began, steady seconds.
-        prefill_share: Share of its pace that it may spend on prompts while it
-            generates long answers; follows the pauses that are seen.
-        short_prefill_share: The same while it generates short answers alone.
+        peers_backlog_s: Sum of `peer_backlogs_s`, seconds, by priority level.
+        peers_in_flight: Requests of the other gateways in progress there, by name.
+        slot_hold_s: Mean time that an answer occupies a slot there, seconds; 0 for
+            unknown.
+        own_long_answers: Long answers that it generates for this gateway.
+        peers_long_answers: The same for the other gateways, by name.
+        recent_prefills: Prefills that began there recently.
+        placed: Number of prompts that all gateways placed there.
+        event_s: Mean time between two events of its long answers, seconds, as observed
+            by this gateway.
+        event_at: Time when that was last observed, monotonic seconds.
+        own_answers: Answers that it generates for this gateway.
+        answer_at: Time of the last event, or start, of one of those, monotonic seconds.
+        prefill_share: Share of its time that it may spend on prefills while it
+            generates long answers; adapted to the observed gaps between events.
+        short_prefill_share: The same while it generates short answers only.
     """
 
     prefill_only: bool
@@ -123,30 +131,29 @@
 
     @property
     def backlog_s(self) -> float:
-        """Seconds of reading that is still to be done for all entries."""
+        """Prefill backlog from all gateways, seconds."""
         return sum_backlog_s(self, LATE_LEVEL)
 
     @property
     def others_in_flight(self) -> int:
-        """Requests of the other entries."""
+        """Requests of the other gateways in progress there."""
         return sum(self.peers_in_flight.values())
 
     @property
     def long_answers(self) -> int:
-        """Long answers that it generates for all entries."""
+        """Long answers that it generates for all gateways."""
         return self.own_long_answers + sum(self.peers_long_answers.values())
 
 
 def make_engine(
     prefill_only: bool, cache_tokens: int, prefill_model: PrefillModel | None = None
 ) -> Engine:
-    """Make the belief about an engine of which nothing is known.
+    """Make the view of an engine that nothing is known of.
 
     Args:
-        prefill_only: Whether it only reads prompts.
-        cache_tokens: Tokens that its memory holds.
-        prefill_model: How fast its service's engines read in its role; None for a new
-            belief.
+        prefill_only: Whether it only prefills prompts.
+        cache_tokens: Capacity of its KV cache, tokens.
+        prefill_model: The prefill model of its service and role; None for a new one.
     """
     return Engine(
         prefill_only,
@@ -156,15 +163,15 @@
 
 
 def count_cached(engine: Engine, prompt: Prompt, ready_by: float = math.inf) -> int:
-    """Count the tokens of a prompt that an engine need not read again.
+    """Count the tokens of a prompt that are in an engine's cache.
 
-    A part is of use only if all before it are kept too.
+    A part can be reused only if all parts before it are cached too.
 
     Args:
         engine: The engine.
         prompt: The prompt.
-        ready_by: When the parts have to have been read, steady seconds: what is still
-            being read can't be fetched by another engine yet.
+        ready_by: Time by which the prefill of the parts must be done, monotonic
+            seconds: until then they can't be transferred to another engine.
     """
     count = 0
     for part in prompt.parts:
@@ -179,7 +186,7 @@
 def count_shared(prompt: Prompt) -> int:
     """Count the tokens of a prompt that other requests may share.
 
-    The last part is the request's own.
+    The last part belongs to this request alone.
     """
     return sum(part.tokens for part in prompt.parts[:-1])
 
@@ -187,12 +194,13 @@
 def note_placed(
     engine: Engine, parts: Iterable[Part], ready_at: float | None = None
 ) -> None:
-    """Take note that an engine reads parts, which its cache then holds.
+    """Record that an engine prefills parts, which its cache then holds.
 
     Args:
         engine: The engine.
-        parts: The parts.
-        ready_at: When they will have been read, steady seconds; None for at once.
+        parts: The parts, in the order of the prompt.
+        ready_at: Time when their prefill ends, monotonic seconds; None for already
+            done.
     """
     for part in parts:
         known = engine.cached.pop(part.id, 0)
@@ -208,9 +216,9 @@
 
 
 def note_earlier_cache(engine: Engine, parts: Iterable[Part]) -> None:
-    """Take note of what a cache held before this entry began to place prompts.
+    """Record what a cache held before this gateway began to place prompts.
 
-    What was placed since was used later, so it stays the longest.
+    Parts placed since then were used more recently, so they are evicted last.
     """
     placed = [Part(id, tokens) for id, tokens in engine.cached.items()]
     engine.cached.clear()
@@ -221,7 +229,7 @@
 
 
 def estimate_prefill_s(engine: Engine, new: float, context: float) -> float:
-    """Estimate how long an engine reads new tokens behind cached ones, seconds."""
+    """Estimate the prefill time of new tokens after cached ones, seconds."""
     return (
         prefillmodel.estimate_seconds(engine.prefill_model, new, context)
         * engine.slowness
@@ -229,7 +237,7 @@
 
 
 def estimate_busy_s(engine: Engine, new: float, context: float) -> float:
-    """Estimate how long a reading of new tokens occupies an engine, seconds."""
+    """Estimate the time that the prefill of new tokens occupies an engine, seconds."""
     return (
         prefillmodel.estimate_busy_s(engine.prefill_model, new, context)
         * engine.slowness
@@ -237,30 +245,30 @@
 
 
 def is_useful_sample(engine: Engine, up_s: float) -> bool:
-    """Whether a reading tells how fast an engine reads.
+    """Return whether a prefill time may be used as a sample of an engine's speed.
 
-    After its start an entry does not know what caches hold. A prompt that is believed
-    to be read may be there already, most of all that of a caller who comes back; its
-    engine looks many times as fast as it is, and then all prompts are sent to be read
-    where answers are generated.
+    A gateway that has just started doesn't know what the caches hold. Parts of a prompt
+    that seem to be prefilled may be cached already, above all after a caller retry. The
+    engine then looks many times as fast as it is, and all prompts are prefilled on
+    decode engines.
 
     Args:
         engine: The engine.
-        up_s: How long ago this entry started, seconds.
+        up_s: Time since this gateway started, seconds.
     """
     return engine.is_cache_known or up_s >= UNKNOWN_CACHE_S
 
 
 def note_unqueued_prefill(engine: Engine, measured: PrefillSample) -> None:
-    """Take note of how long an engine took for a reading that did not wait."""
-    usual_s = prefillmodel.estimate_seconds(
+    """Record the time of a prefill that didn't wait for others."""
+    model_s = prefillmodel.estimate_seconds(
         engine.prefill_model, measured.new, measured.context
     )
-    if usual_s <= 0:
+    if model_s <= 0:
         return
     low, high = SLOWNESS_BOUNDS
-    ratio = min(high, max(low, measured.seconds / usual_s))
-    # The common pace is not to learn from an engine what is its own.
+    ratio = min(high, max(low, measured.seconds / model_s))
+    # The slowness of this one engine is removed from the sample for the shared model.
     common = PrefillSample(
         measured.new, measured.context, measured.seconds / engine.slowness
     )
@@ -269,11 +277,17 @@
 
 
 def note_prefill_done(engine: Engine, measured: PrefillSample, was_alone: bool) -> None:
-    """Take note of how long a reading took that may have waited for others.
+    """Record the time of a prefill that may have waited for others.
 
-    One that waited tells nothing where it took longer than was expected, but all the
-    more where it took less: then engines are faster than is believed. Where there is
-    work from the first second on, no reading is ever alone.
+    If it waited and took longer than estimated, it is no sample. If it took less than
+    estimated, it is one: the engine is faster than the model says. Under constant load
+    no prefill ever has the engine to itself, so without such samples nothing would be
+    learnt.
+
+    Args:
+        engine: The engine.
+        measured: The sample.
+        was_alone: Whether no other prefill was at the engine meanwhile.
     """
     expected_s = estimate_prefill_s(engine, measured.new, measured.context)
     if was_alone or measured.seconds < expected_s:
@@ -281,28 +295,28 @@
 
 
 def note_queued_prefill(engine: Engine, seconds: float, planned_s: float) -> None:
-    """Take note of how long a reading took with its wait, against what was planned.
+    """Record the time of a prefill including its wait, compared with the planned time.
 
-    Where an engine always has work no reading is alone, and one that became slow would
-    look like all others. What others placed meanwhile is in it too, so that each
-    reading counts little.
+    Under constant load every prefill waits, and an engine that became slow would look
+    like all others. The time includes prefills that others placed meanwhile, so each
+    sample has a low weight.
 
     Args:
         engine: The engine.
-        seconds: How long it took, without what was fetched.
-        planned_s: How long it was planned to take.
+        seconds: Measured time without the cache transfer, seconds.
+        planned_s: Planned time, seconds.
     """
     if planned_s <= 0:
         return
-    low, high = WAITED_BOUNDS
+    low, high = QUEUED_BOUNDS
     ratio = min(high, max(low, seconds / planned_s))
-    slowness = engine.slowness * (1.0 + WAITED_SMOOTHING * (ratio - 1.0))
+    slowness = engine.slowness * (1.0 + QUEUED_SMOOTHING * (ratio - 1.0))
     least, most = SLOWNESS_BOUNDS
     engine.slowness = min(most, max(least, slowness))
 
 
 def sum_backlog_s(engine: Engine, level: int) -> float:
-    """Sum the seconds of reading to be done that are as urgent as a level, or more."""
+    """Sum the prefill backlog of a priority level and all higher ones, seconds."""
     if level == LATE_LEVEL:
         return sum(engine.own_backlog_s) + sum(engine.peers_backlog_s)
     return sum(engine.own_backlog_s[: level + 1]) + sum(
@@ -311,9 +325,15 @@
 
 
 def note_peer_backlog(engine: Engine, peer: str, levels: list[float]) -> None:
-    """Take note of the work that another entry has at an engine, by level.
+    """Record the prefill backlog of another gateway at an engine.
 
-    The sum is kept along: with 22 peers it is asked for far more often than it changes.
+    The sum over the peers is updated at once: with 22 peers it is read far more often
+    than it changes.
+
+    Args:
+        engine: The engine.
+        peer: Name of the other gateway.
+        levels: Its backlog by priority level, seconds.
     """
     forget_peer_backlog(engine, peer)
     engine.peer_backlogs_s[peer] = levels
@@ -323,12 +343,12 @@
 
 
 def forget_peer_backlog(engine: Engine, peer: str) -> None:
-    """Forget the work of another entry."""
+    """Remove the prefill backlog of another gateway."""
     known = engine.peer_backlogs_s.pop(peer, None)
     if known is None:
         return
     pairs = zip(engine.peers_backlog_s, known, strict=True)
-    # Without peers what rounding left over goes too.
+    # Without peers the sum restarts at zero, which drops rounding errors.
     engine.peers_backlog_s = (
         [max(0.0, a - b) for a, b in pairs]
         if engine.peer_backlogs_s
@@ -337,30 +357,30 @@
 
 
 def estimate_wait(engine: Engine, level: int, now: float) -> float:
-    """Estimate the seconds until an engine begins to read a prompt.
+    """Estimate the wait until an engine begins the prefill of a prompt, seconds.
 
-    What an engine reads already is not put back for what is more urgent, and more of
-    that will come meanwhile.
+    An engine doesn't preempt the running prefill for one of higher priority, and more
+    prefills of higher priority will arrive during the wait.
 
     Args:
         engine: The engine.
-        level: How urgent the prompt is.
-        now: The present time, steady seconds.
+        level: Priority level of the prompt.
+        now: The current time, monotonic seconds.
     """
     work_s = sum_backlog_s(engine, level)
     others_s = max(0.0, sum_backlog_s(engine, LATE_LEVEL) - work_s)
-    urgent_s = total_s = squares = 0.0
-    # One pass for all sums: this is asked for each engine and request.
+    higher_priority_s = total_s = squares = 0.0
+    # One pass computes all sums: this runs for each engine and request.
     for begun in engine.recent_prefills:
         total_s += begun.seconds
         squares += begun.seconds**2
         if begun.level < level and begun.at > now - RECENT_WINDOW_S:
-            urgent_s += begun.seconds
-    # What is left on average of a reading under way is half of the lengths, each
-    # weighed by its length: the longer, the likelier it is the one under way.
+            higher_priority_s += begun.seconds
+    # The mean residual time of the running prefill is half of the mean duration with
+    # each duration weighted by itself: a longer prefill is more likely the running one.
     residual_s = squares / total_s / 2 if total_s > 0 else 0.0
     ahead_s = work_s + min(others_s, residual_s)
-    return ahead_s / max(LEAST_IDLE_SHARE, 1.0 - urgent_s / RECENT_WINDOW_S)
+    return ahead_s / max(MIN_IDLE_SHARE, 1.0 - higher_priority_s / RECENT_WINDOW_S)
 
 
 def count_recent_prefills(engine: Engine, now: float) -> int:
@@ -369,7 +389,7 @@
 
 
 def note_prefill_start(engine: Engine, now: float, seconds: float, level: int) -> None:
-    """Take note of a reading that an engine begins, and how long it should take."""
+    """Record that an engine begins a prefill of an estimated duration in seconds."""
     while (
         engine.recent_prefills and engine.recent_prefills[0].at < now - RECENT_WINDOW_S
     ):
@@ -379,7 +399,7 @@
 
 
 def sum_recent_prefill_s(engine: Engine, now: float, window_s: float) -> float:
-    """Sum the seconds of reading that an engine began within a window."""
+    """Sum the durations of prefills that an engine began within a window, seconds."""
     return sum(
         begun.seconds for begun in engine.recent_prefills if begun.at >= now - window_s
     )
--- a/src/robinspindle/core/estimates.py
+++ b/src/robinspindle/core/estimates.py
@@ -1,7 +1,7 @@
-"""How long an engine would read a prompt, and what that does to caches.
+"""Estimates the prefill time of a prompt at an engine, and its effect on caches.
 
-An engine skips what its own cache holds of a prompt, and may fetch what another one's
-holds.
+An engine skips the parts of a prompt that its own cache holds, and may transfer parts
+from another engine's cache.
 """
 
 from dataclasses import dataclass
@@ -17,37 +17,37 @@
 from robinspindle.core.health import find_slowness
 from robinspindle.core.targets import Target
 
-REREAD_WEIGHT = 2.0
-"""How much more reading a shared part again weighs than the time that it takes: it
-also pushes other parts out of the cache."""
+RECOMPUTE_WEIGHT = 2.0
+"""Cost of prefilling a shared part again, relative to its prefill time: it also evicts
+other parts from the cache."""
 
-FETCH_WEIGHT = 0.5
-"""How much fetching parts from another engine's cache weighs at an engine that only
-reads, against the time that reading them would take: a second copy pushes other parts
-out of a cache. One that generates gets a copy however its prompts are read."""
+TRANSFER_WEIGHT = 0.5
+"""Cost of transferring parts to a prefill-only engine, relative to their prefill time:
+a second copy evicts other parts from a cache. A decode engine gets a copy no matter
+where its prompts are prefilled."""
 
-LEAST_GAIN_S = 0.002
-"""What a fetch has to save, seconds: about what setting it up and its way between zones
-take."""
+MIN_SAVING_S = 0.002
+"""Least time that a transfer has to save, seconds: about its setup and the network
+delay between availability zones."""
 
-FAR_MOVE = 2.0
-"""How many times longer a fetch between availability zones takes."""
+CROSS_ZONE_FACTOR = 2.0
+"""Ratio of the time of a transfer between availability zones to that within one."""
 
 Pair = tuple[Target, Engine]
 
 
 @dataclass(frozen=True)
 class PrefillEstimate:
-    """How one engine would read a prompt.
+    """The estimated prefill of a prompt at one engine.
 
     Attributes:
-        uncached_tokens: Tokens that it has to read.
-        seconds: How long it takes with the fetch, without the wait.
-        prefill_s: How long the engine is busy with it, seconds.
-        fetch_s: How long the fetch takes, seconds.
-        penalty_s: What it counts for besides, seconds.
-        missing_share: Share of the shared parts that it has to read again.
-        holder: From whose cache it fetches first; None for none.
+        uncached_tokens: Uncached tokens, which it has to prefill.
+        seconds: Duration with the cache transfer, without the wait, seconds.
+        prefill_s: Time for which the prefill occupies the engine, seconds.
+        fetch_s: Duration of the cache transfer, seconds.
+        penalty_s: Additional cost of the effect on caches, seconds.
+        missing_share: Share of the shared parts that it has to prefill again.
+        holder: The cache source of the transfer; None for no transfer.
     """
 
     uncached_tokens: int
@@ -61,54 +61,58 @@
 
 @dataclass(frozen=True)
 class CacheTransfer:
-    """How parts of a prompt may come from another engine's cache.
+    """A possible transfer of parts of a prompt from another engine's cache.
 
     Attributes:
-        holder: The engine whose cache holds most of the prompt.
-        held: How many of its tokens.
-        token_s: Seconds that a token takes within an availability zone.
+        holder: The cache source: the engine whose cache holds most of the prompt.
+        held: Tokens of the prompt in its cache.
+        token_transfer_s: Transfer time per token within an availability zone, seconds.
     """
 
     holder: Pair
     held: int
-    token_s: float
+    token_transfer_s: float
 
 
 def find_cache_transfer(
-    candidates: list[Pair], prompt: Prompt, token_s: float, now: float
+    candidates: list[Pair], prompt: Prompt, token_transfer_s: float, now: float
 ) -> CacheTransfer:
-    """Find the engine from whose cache most of a prompt can be fetched.
+    """Find the engine from whose cache most of a prompt can be transferred.
 
     Args:
         candidates: The engines.
         prompt: The prompt.
-        token_s: Seconds that a token takes within an availability zone.
-        now: The present time, steady seconds.
+        token_transfer_s: Transfer time per token within an availability zone, seconds.
+        now: The current time, monotonic seconds.
     """
     held = [count_cached(engine, prompt, now) for _, engine in candidates]
     most = max(held)
-    return CacheTransfer(candidates[held.index(most)], most, token_s)
+    return CacheTransfer(candidates[held.index(most)], most, token_transfer_s)
 
 
 def estimate_prefill(
-    pair: Pair, prompt: Prompt, now: float, move: CacheTransfer | None
+    pair: Pair, prompt: Prompt, now: float, transfer: CacheTransfer | None
 ) -> PrefillEstimate:
-    """Estimate how an engine reads a prompt, with what another one holds if that helps.
+    """Estimate the prefill at an engine, with a cache transfer if that saves time.
 
     Args:
-        pair: The engine.
+        pair: The target and the engine.
         prompt: The prompt.
-        now: The present time, steady seconds.
-        move: From where it may fetch parts; None where nothing is fetched.
+        now: The current time, monotonic seconds.
+        transfer: The possible transfer; None for none.
     """
     target, engine = pair
     slowness = find_slowness(target, now)
     cached = count_cached(engine, prompt)
-    alone = _estimate(engine, prompt, cached, slowness)
-    if move is None or move.holder[0] is target or move.held <= cached:
-        return alone
-    helped = _estimate(engine, prompt, cached, slowness, move, target)
-    return helped if helped.seconds + LEAST_GAIN_S < alone.seconds else alone
+    without = _estimate(engine, prompt, cached, slowness)
+    if transfer is None or transfer.holder[0] is target or transfer.held <= cached:
+        return without
+    with_transfer = _estimate(engine, prompt, cached, slowness, transfer, target)
+    return (
+        with_transfer
+        if with_transfer.seconds + MIN_SAVING_S < without.seconds
+        else without
+    )
 
 
 def _estimate(
@@ -116,45 +120,51 @@
     prompt: Prompt,
     cached: int,
     slowness: float,
-    move: CacheTransfer | None = None,
+    transfer: CacheTransfer | None = None,
     target: Target | None = None,
 ) -> PrefillEstimate:
-    """Estimate a reading with what the engine holds, or with what it can fetch.
+    """Estimate a prefill with the engine's own cache alone, or with a transfer.
 
-    Reading shared parts again weighs more than its time: it pushes other parts out of
-    the cache. A second copy of them weighs too, for the same reason.
+    Prefilling shared parts again costs more than its time, because it evicts other
+    parts from the cache. A second copy of them has a cost for the same reason.
 
     Args:
         engine: The engine.
         prompt: The prompt.
-        cached: Tokens of it that the engine's own cache holds.
-        slowness: How many times longer its target takes at present.
-        move: From where it fetches more than that; None for nothing.
-        target: The engine's target, where something is fetched.
+        cached: Tokens of it in the engine's own cache.
+        slowness: Current ratio of the target's response time to that of a warm one.
+        transfer: The transfer; None for none.
+        target: The engine's target; needed for a transfer only.
     """
-    held = cached if move is None else move.held
-    fetched = held - cached
+    held = cached if transfer is None else transfer.held
+    transferred = held - cached
     shared = count_shared(prompt)
     missing = max(0, shared - held)
     uncached_tokens = prompt.tokens - held
-    answered_s = estimate_prefill_s(engine, uncached_tokens, held) * slowness
+    duration_s = estimate_prefill_s(engine, uncached_tokens, held) * slowness
     prefill_s = estimate_busy_s(engine, uncached_tokens, held) * slowness
-    copied_s = estimate_busy_s(engine, min(fetched, shared), cached) * slowness
-    fetch_s = _find_move_s(move, fetched, target) if move else 0.0
+    copy_s = estimate_busy_s(engine, min(transferred, shared), cached) * slowness
+    fetch_s = _estimate_transfer_s(transfer, transferred, target) if transfer else 0.0
     missing_s = prefill_s * missing / max(1, uncached_tokens)
-    fetch_weight = FETCH_WEIGHT if engine.prefill_only else 0.0
+    transfer_weight = TRANSFER_WEIGHT if engine.prefill_only else 0.0
     return PrefillEstimate(
         uncached_tokens=uncached_tokens,
-        seconds=answered_s + fetch_s,
+        seconds=duration_s + fetch_s,
         prefill_s=prefill_s,
-        penalty_s=REREAD_WEIGHT * missing_s + fetch_weight * copied_s,
+        penalty_s=RECOMPUTE_WEIGHT * missing_s + transfer_weight * copy_s,
         missing_share=missing / max(1, shared),
         fetch_s=fetch_s,
-        holder=move.holder[0] if move else None,
+        holder=transfer.holder[0] if transfer else None,
     )
 
 
-def _find_move_s(move: CacheTransfer, fetched: int, target: Target) -> float:
-    """Find how long a target fetches tokens from the holder, seconds."""
-    is_far = move.holder[0].announced.zone != target.announced.zone
-    return fetched * move.token_s * (FAR_MOVE if is_far else 1.0)
+def _estimate_transfer_s(
+    transfer: CacheTransfer, transferred: int, target: Target
+) -> float:
+    """Estimate the time of a transfer to a target, seconds."""
+    is_cross_zone = transfer.holder[0].announced.zone != target.announced.zone
+    return (
+        transferred
+        * transfer.token_transfer_s
+        * (CROSS_ZONE_FACTOR if is_cross_zone else 1.0)
+    )
--- a/src/robinspindle/core/prefillmodel.py
+++ b/src/robinspindle/core/prefillmodel.py
@@ -1,10 +1,10 @@
-"""How long engines take to read a prompt, learnt from readings.
+"""A model of prefill times, fitted to samples.
 
-Seconds are modelled as a constant, a part for each new token, and a part for each pair
-of a new token and a token that it attends to. The three coefficients are fitted for all
-engines of one service in one role together, by least squares over relative errors; old
-readings fade. Entries tell each other the sums of their fits, so that one which starts
-knows what the others know.
+The time of a prefill is a base time, a time per new token, and a time per pair of a new
+token and a token that it attends to. The three coefficients are fitted for all engines
+of one service and role together, by least squares over relative errors with exponential
+decay of old samples. Gateways exchange the sums of their fits, so that one that has
+just started knows what the others have measured.
 """
 
 from dataclasses import dataclass, field
@@ -12,47 +12,47 @@
 import msgspec
 
 Coefficients = tuple[float, float, float]
-"""Seconds of any reading, of 1,000 new tokens, of a million pairs."""
+"""Base time, time per 1,000 new tokens, and time per million token pairs, seconds."""
 
 INITIAL_PREFILL_ONLY: Coefficients = (0.005, 0.02, 0.0)
 INITIAL_DECODE: Coefficients = (0.005, 0.04, 0.0)
-"""What is believed before the first reading: 50,000 tokens a second, and half of that
-for engines that read between the tokens of others. It weighs as much as `START_WEIGHT`
-readings, so it is neither a floor nor a ceiling: with half or double of it the middle
-of planned against real lies between 0.8 and 1.25 after 12 readings all the same
-(`tests/core/test_paces.py`)."""
+"""Coefficients before the first sample: 50,000 tokens per second, and half of that for
+engines that prefill between the decode steps of answers. They weigh as much as
+`INITIAL_WEIGHT` samples, so they are neither a lower nor an upper bound: even at half
+or double these values, the median ratio of actual to estimated time lies between 0.8
+and 1.25 after 12 samples (`tests/core/test_prefillmodel.py`)."""
 
-START_WEIGHT = 0.5
-"""Readings that the start counts for."""
+INITIAL_WEIGHT = 0.5
+"""Number of samples that the initial coefficients count for."""
 
-FADE = 0.99
-"""What a reading still weighs after the next one: about the last hundred count."""
+DECAY = 0.99
+"""Decay of a sample's weight with each later one: about the last hundred count."""
 
 CLIP_FROM_WEIGHT = 10.0
-MOST_RATIO = 2.0
-"""Once this many readings are known, one that took longer than so many times what was
-expected, or shorter by as much, counts as one that did: something else held it up."""
+MAX_RATIO = 2.0
+"""From this total weight of samples on, a sample whose ratio to the estimate exceeds
+`MAX_RATIO`, or is below its inverse, is clipped to that: something else delayed it."""
 
-START_TOKENS = (500.0, 4000.0)
-"""Lengths at which the start stands for readings, tokens."""
+INITIAL_TOKENS = (500.0, 4000.0)
+"""Prompt lengths of the samples that stand for the initial coefficients, tokens."""
 
-LEAST_SCALE_S = 0.002
-"""Added to the scale of a relative error, seconds: about the way to an engine and back,
-so that the shortest readings don't count for all."""
+MIN_SCALE_S = 0.002
+"""Added to the denominator of a relative error, seconds: about the network round trip
+to an engine, so that the shortest prefills don't dominate the fit."""
 
 FEATURES = 3
-LEAST_PIVOT = 1e-12
-"""Smaller divisors say that the readings don't tell two coefficients apart."""
+MIN_PIVOT = 1e-12
+"""With a smaller pivot the samples can't distinguish two coefficients."""
 
 
 @dataclass(frozen=True)
 class PrefillSample:
-    """One reading that did not wait for others.
+    """The measured time of one prefill that didn't wait for others.
 
     Attributes:
-        new: Tokens that were read.
-        context: Tokens before them that a cache held.
-        seconds: How long it took.
+        new: New tokens, which were prefilled.
+        context: Cached tokens before them.
+        seconds: Duration, seconds.
     """
 
     new: float
@@ -61,12 +61,12 @@
 
 
 class FitSums(msgspec.Struct, array_like=True):
-    """What a fit needs of all readings: sums of products, each reading scaled to 1 s.
+    """The sums over all samples that a fit needs, each sample scaled to 1 s.
 
     Attributes:
-        weight: Readings, faded.
-        products: Sums of products of two features, row by row, without repetition.
-        results: Sums of products of a feature and the seconds.
+        weight: Number of samples, decayed.
+        products: Sums of products of two features: the upper triangle, row by row.
+        results: Sums of products of a feature and the duration.
     """
 
     weight: float = 0.0
@@ -76,28 +76,28 @@
 
 @dataclass
 class PrefillModel:
-    """How fast the engines of one service read in one role.
+    """The prefill model of the engines of one service and role.
 
     Attributes:
-        start: What is believed before any reading.
-        own: Sums over this entry's own readings.
-        peer_sums: The same of other entries, by name.
-        known: The coefficients that were fitted last; None since anything was noted.
+        initial: Coefficients before the first sample.
+        own: Sums over this gateway's own samples.
+        peer_sums: The same from other gateways, by name.
+        known: The coefficients fitted last; None if samples were added since.
     """
 
-    start: Coefficients
+    initial: Coefficients
     own: FitSums = field(default_factory=lambda: _make_sums())
     peer_sums: dict[str, FitSums] = field(default_factory=dict)
     known: Coefficients | None = None
 
     def __post_init__(self):
-        self.known = self.start
+        self.known = self.initial
 
     @property
     def fitted(self) -> Coefficients:
-        """The coefficients that follow from all that was noted.
+        """The coefficients fitted to all samples.
 
-        They are fitted when they are asked for: peers tell many times as often.
+        The fit is computed on access, because peers send sums many times as often.
         """
         if self.known is None:
             self.known = _fit(self)
@@ -105,72 +105,73 @@
 
 
 def make_prefill_model(prefill_only: bool) -> PrefillModel:
-    """Make the belief of engines of which nothing is known."""
+    """Make the model of engines without any samples."""
     return PrefillModel(INITIAL_PREFILL_ONLY if prefill_only else INITIAL_DECODE)
 
 
-def estimate_seconds(pace: PrefillModel, new: float, context: float) -> float:
-    """Estimate how long an engine reads, without any wait, seconds.
+def estimate_seconds(model: PrefillModel, new: float, context: float) -> float:
+    """Estimate the time of a prefill without any wait, seconds.
 
     Args:
-        pace: How fast such engines read.
-        new: Tokens that it has to read.
-        context: Tokens before them that its cache holds.
+        model: The prefill model of the engine.
+        new: New tokens to prefill.
+        context: Cached tokens before them.
     """
     if new <= 0:
         return 0.0
-    return _multiply(pace.fitted, _find_features(new, context))
+    return _multiply(model.fitted, _find_features(new, context))
 
 
-def estimate_busy_s(pace: PrefillModel, new: float, context: float) -> float:
-    """Estimate for how long a reading keeps others from being read, seconds.
+def estimate_busy_s(model: PrefillModel, new: float, context: float) -> float:
+    """Estimate the time for which a prefill occupies an engine, seconds.
 
-    The constant part of a reading is the way of a prompt to its engine and of the
-    answer back, through links and gateways: others are read meanwhile. Counted as work
-    it was half of all work where a prompt of 4,500 tokens is read in 21 ms and answered
-    after 47: engines looked 1.9 times as busy as they were, in place of 1.3
-    (`tests/core/test_loadplay.py`), and a demand of 4 readers looked like one of 8.
+    The base time is the network delay of the prompt to its engine and of the answer
+    back, through links and gateways: the engine prefills others meanwhile. When it
+    counted as backlog it was half of all backlog if a prompt of 4,500 tokens is
+    prefilled in 21 ms and answered after 47 ms: engines looked 1.9 times as busy as
+    they were, rather than 1.3 times (`tests/core/test_loadplay.py`), and a demand of 4
+    prefill engines looked like one of 8.
 
     Args:
-        pace: How fast such engines read.
-        new: Tokens that it has to read.
-        context: Tokens before them that its cache holds.
+        model: The prefill model of the engine.
+        new: New tokens to prefill.
+        context: Cached tokens before them.
     """
     if new <= 0:
         return 0.0
-    _, new_s, pairs_s = pace.fitted
+    _, new_s, pairs_s = model.fitted
     return _multiply((0.0, new_s, pairs_s), _find_features(new, context))
 
 
-def note_sample(pace: PrefillModel, measured: PrefillSample) -> None:
-    """Take note of one reading that did not wait."""
+def note_sample(model: PrefillModel, measured: PrefillSample) -> None:
+    """Record a sample."""
     if measured.new <= 0 or measured.seconds <= 0:
         return
-    expected = estimate_seconds(pace, measured.new, measured.context)
+    expected = estimate_seconds(model, measured.new, measured.context)
     seconds = measured.seconds
-    if _sum_weights(pace) >= CLIP_FROM_WEIGHT:
-        seconds = min(expected * MOST_RATIO, max(expected / MOST_RATIO, seconds))
+    if _sum_weights(model) >= CLIP_FROM_WEIGHT:
+        seconds = min(expected * MAX_RATIO, max(expected / MAX_RATIO, seconds))
     features = _find_features(measured.new, measured.context)
-    pace.own = _add(pace.own, features, seconds, expected)
-    pace.known = None
+    model.own = _add(model.own, features, seconds, expected)
+    model.known = None
 
 
-def note_peer_sums(pace: PrefillModel, entry: str, sums: FitSums) -> None:
-    """Take note of what another entry has learnt; its older word is replaced."""
+def note_peer_sums(model: PrefillModel, gateway: str, sums: FitSums) -> None:
+    """Record the sums of another gateway in place of its earlier ones."""
     if len(sums.products) != len(_make_sums().products):
         return
-    pace.peer_sums[entry] = sums
-    pace.known = None
+    model.peer_sums[gateway] = sums
+    model.known = None
 
 
-def forget_peer_sums(pace: PrefillModel, entry: str) -> None:
-    """Forget what an entry that fell silent has told."""
-    if pace.peer_sums.pop(entry, None) is not None:
-        pace.known = None
+def forget_peer_sums(model: PrefillModel, gateway: str) -> None:
+    """Remove the sums of a gateway that timed out."""
+    if model.peer_sums.pop(gateway, None) is not None:
+        model.known = None
 
 
 def add_fit_sums(first: FitSums, second: FitSums, factor: float = 1.0) -> FitSums:
-    """Add up what two entries have learnt, the second one multiplied by a factor."""
+    """Add the sums of two gateways, the second ones multiplied by a factor."""
     if len(first.products) != len(second.products):
         return first
     return FitSums(
@@ -191,12 +192,12 @@
 def _add(
     sums: FitSums, features: Coefficients, seconds: float, expected_s: float
 ) -> FitSums:
-    """Fade sums and add one reading, scaled so that its relative error counts.
+    """Decay sums and add one sample, scaled so that its relative error counts.
 
-    A scale by the seconds themselves would favour coefficients that are too low; one by
-    what was expected alone would let the first readings of a slow fleet count for all.
+    A scale by the measured time would favor coefficients that are too low. A scale by
+    the estimate alone would let the first samples of a slow fleet dominate the fit.
     """
-    scale = 1.0 / (max(expected_s, seconds / MOST_RATIO) + LEAST_SCALE_S)
+    scale = 1.0 / (max(expected_s, seconds / MAX_RATIO) + MIN_SCALE_S)
     scaled = [feature * scale for feature in features]
     products = [
         scaled[row] * scaled[column]
@@ -205,19 +206,19 @@
     ]
     results = [feature * seconds * scale for feature in scaled]
     return FitSums(
-        weight=sums.weight * FADE + 1.0,
-        products=[a * FADE + b for a, b in zip(sums.products, products, strict=True)],
-        results=[a * FADE + b for a, b in zip(sums.results, results, strict=True)],
+        weight=sums.weight * DECAY + 1.0,
+        products=[a * DECAY + b for a, b in zip(sums.products, products, strict=True)],
+        results=[a * DECAY + b for a, b in zip(sums.results, results, strict=True)],
     )
 
 
-def _sum_weights(pace: PrefillModel) -> float:
-    return pace.own.weight + sum(sums.weight for sums in pace.peer_sums.values())
+def _sum_weights(model: PrefillModel) -> float:
+    return model.own.weight + sum(sums.weight for sums in model.peer_sums.values())
 
 
-def _fit(pace: PrefillModel) -> Coefficients:
-    """Fit the coefficients, none of them below 0, to all that is known."""
-    total = _sum_up(pace)
+def _fit(model: PrefillModel) -> Coefficients:
+    """Fit the coefficients, none of them below 0, to all samples."""
+    total = _sum_up(model)
     used = list(range(FEATURES))
     while used:
         found = _solve(total, used)
@@ -226,28 +227,28 @@
             for feature, value in zip(used, found, strict=True):
                 fitted[feature] = value
             return (fitted[0], fitted[1], fitted[2])
-        # A part that would shorten a reading is no part of it.
+        # A negative coefficient has no meaning: the fit is repeated without it.
         worst = len(used) - 1 if found is None else found.index(min(found))
         del used[worst]
-    return pace.start
+    return model.initial
 
 
-def _sum_up(pace: PrefillModel) -> FitSums:
+def _sum_up(model: PrefillModel) -> FitSums:
     total = _make_sums()
-    for tokens in START_TOKENS:
+    for tokens in INITIAL_TOKENS:
         features = _find_features(tokens, 0.0)
-        seconds = _multiply(pace.start, features)
+        seconds = _multiply(model.initial, features)
         total = _add(total, features, seconds, seconds)
-    factor = START_WEIGHT / len(START_TOKENS)
+    factor = INITIAL_WEIGHT / len(INITIAL_TOKENS)
     total.products = [value * factor for value in total.products]
     total.results = [value * factor for value in total.results]
-    for sums in (pace.own, *pace.peer_sums.values()):
+    for sums in (model.own, *model.peer_sums.values()):
         total = add_fit_sums(total, sums)
     return total
 
 
 def _solve(sums: FitSums, used: list[int]) -> list[float] | None:
-    """Solve the normal equations for some features; None where they don't tell."""
+    """Solve the normal equations for some features; None if they are singular."""
     rows = [
         [_find_product(sums, row, column) for column in used] + [sums.results[row]]
         for row in used
@@ -255,7 +256,7 @@
     size = len(rows)
     for pivot in range(size):
         divisor = rows[pivot][pivot]
-        if divisor <= LEAST_PIVOT * max(1.0, sums.products[0]):
+        if divisor <= MIN_PIVOT * max(1.0, sums.products[0]):
             return None
         rows[pivot] = [value / divisor for value in rows[pivot]]
         for row in range(size):
--- a/tests/core/loadplay.py
+++ b/tests/core/loadplay.py
@@ -1,8 +1,8 @@
-"""Plays a load in virtual time against the decisions alone: no network, no process.
+"""Simulates a load against the gateways' decisions: no network, no processes.
 
-Engines serve one prompt after the other, the most urgent first, and are busy only while
-they read; the way to them and back takes time besides. Gateways decide by the product's
-own functions, and hear what the others have under way with a delay.
+Engines prefill one prompt at a time, the highest priority first, and are busy only
+during a prefill; the network delay comes on top. Gateways decide with the product's own
+functions, and receive the state of the other gateways with a delay.
 """
 
 import math
@@ -43,36 +43,36 @@
 
 TOKENS_PER_S = 307_000
 PAIRS_S_PER_M = 0.147e-3
-"""How fast an engine that reads is, and how long a million pairs take it."""
+"""Speed of a prefill-only engine: tokens per second, seconds per million pairs."""
 
 HALF = 2.0
-"""Engines that generate take so many times as long to read."""
+"""Ratio of a decode engine's prefill times to those of a prefill-only engine."""
 
 SLOW = 3.0
-"""So do slow ones."""
+"""Ratio of a slow engine's prefill times to those of others."""
 
 
 @dataclass(frozen=True)
 class Load:
-    """What callers ask for and who is there.
+    """The requests of callers, and the simulated deployment.
 
     Attributes:
-        per_s: Requests a second.
-        for_s: How long they come, seconds.
-        readers: Engines that only read.
-        hosts: Engines that generate.
-        gateways: Gateways, to which requests come at random.
-        way_s: What a prompt takes to an engine and its answer back, seconds.
-        latency_objective_s: The time in which the first event should come.
-        patience_s: When callers give up.
-        news_s: Interval at which gateways hear of one another.
-        documents: Shared documents among which prompts choose.
-        kinds: Kinds of requests to play in place of the one kind that the fields
+        per_s: Requests per second.
+        for_s: Time for which requests arrive, seconds.
+        readers: Number of prefill-only engines.
+        hosts: Number of decode engines.
+        gateways: Number of gateways; each request goes to a random one.
+        way_s: Network delay of a prompt to an engine and its answer back, seconds.
+        latency_objective_s: Latency objective of the first event, seconds.
+        patience_s: Timeout of callers, seconds.
+        news_s: Interval of the updates between gateways, seconds.
+        documents: Number of shared documents that prompts contain one of.
+        kinds: Kinds of requests to simulate instead of the one kind that the fields
             above describe.
-        tokens_per_s: How fast an engine that only reads is.
-        cache_tokens: Tokens that an engine's memory holds.
-        gives_turns: Whether lengths that are served too seldom get turns.
-        slow: Engines that take three times as long.
+        tokens_per_s: Prefill speed of a prefill-only engine, tokens per second.
+        cache_tokens: Capacity of an engine's KV cache, tokens.
+        gives_turns: Whether underserved sizes of prompts are preferred.
+        slow: Names of the engines that take three times as long.
     """
 
     per_s: float
@@ -94,16 +94,16 @@
 
 @dataclass
 class Outcome:
-    """What callers got.
+    """The result of a simulation.
 
     Attributes:
-        asked: Requests.
-        in_time: Those whose first event came in time.
-        late: Those that were served later.
-        refused: Those that were refused, or left.
-        busy_s: Seconds that all engines were busy.
-        believed_s: Seconds that they were believed to be.
-        ended: How each request ended, where several kinds are played.
+        asked: Number of requests.
+        in_time: Requests whose first event met the deadline.
+        late: Requests that were served later.
+        refused: Requests that were refused, or whose callers gave up.
+        busy_s: Time for which all engines were busy together, seconds.
+        estimated_busy_s: The gateways' estimate of `busy_s`, seconds.
+        ended: The result of each request, if several kinds are simulated.
     """
 
     asked: int = 0
@@ -111,20 +111,20 @@
     late: int = 0
     refused: int = 0
     busy_s: float = 0.0
-    believed_s: float = 0.0
+    estimated_busy_s: float = 0.0
     ended: list[Ended] = field(default_factory=list)
 
 
 @dataclass
 class Gateway:
-    """One gateway's beliefs: the target and the engine of each lifetime."""
+    """The local view of one gateway: the target and the engine of each lifetime."""
 
     pairs: list
     turns: SizeFairness = field(default_factory=SizeFairness)
 
 
 def play(load: Load, seed: int = 1) -> Outcome:
-    """Play a load and return what callers got."""
+    """Simulate a load."""
     return _Play(load, random.Random(seed)).run()
 
 
@@ -141,8 +141,11 @@
         self.held = {
             name: make_engine(name[0] == "p", load.cache_tokens) for name in self.names
         }
-        # Gateways tell each other what they learn of paces: one belief for all.
-        self.paces = {True: make_prefill_model(True), False: make_prefill_model(False)}
+        # Gateways exchange the sums of their prefill models, so all share one model.
+        self.prefill_models = {
+            True: make_prefill_model(True),
+            False: make_prefill_model(False),
+        }
         self.placed = []
         self.gateways = [self._make_gateway() for _ in range(load.gateways)]
         self.kinds = load.kinds or (_make_only_kind(load),)
@@ -154,7 +157,9 @@
             role = "prefill" if reads else "decode"
             zone = "abcde"[number % 5]
             announced = Announcement(name, "s", f"{name}:1", zone, 24, role=role)
-            engine = make_engine(reads, self.load.cache_tokens, self.paces[reads])
+            engine = make_engine(
+                reads, self.load.cache_tokens, self.prefill_models[reads]
+            )
             pairs.append((Target(announced), engine))
         return Gateway(pairs)
 
@@ -172,13 +177,13 @@
             self.env.process(self._serve(self.rng.choice(self.gateways), kind))
 
     def _tell(self):
-        """Tell each gateway what all others placed, and have under way, added up."""
+        """Send each gateway the placements and the summed backlogs of all others."""
         while True:
             yield self.env.timeout(self.load.news_s)
-            for author, where, prompt, plan in self.placed:
+            for author, engine_name, prompt, plan in self.placed:
                 for gateway in self.gateways:
                     if gateway is not author:
-                        engine = gateway.pairs[self.names.index(where)][1]
+                        engine = gateway.pairs[self.names.index(engine_name)][1]
                         note_placed(engine, prompt.parts, self.env.now)
                         note_prefill_start(
                             engine, self.env.now, plan.prefill_s, plan.level
@@ -207,7 +212,7 @@
         return Prompt("m", parts, sum(part.tokens for part in parts), 92)
 
     def _describe(self, gateway, kind, prompt):
-        """Describe what a choice depends on besides the engines."""
+        """Describe what a placement depends on besides the engines."""
         return PlanningContext(
             self.env.now, kind.latency_objective_s, kind.latency_objective_s, 0.15, "a",
             rank=kind.rank, has_pause_sensitive=False, handoff_s=0.01,
@@ -216,7 +221,7 @@
         )  # fmt: skip
 
     def _find_most_slot_wait_s(self, kind):
-        """Find how long an answer may wait for a slot at the most, seconds."""
+        """Return the longest time that an answer may wait for a slot, seconds."""
         return math.inf
 
     def _serve(self, gateway, kind):
@@ -240,18 +245,18 @@
         if plan.level < LATE_LEVEL:
             note_served(turns, env.now, *asked)
         engines = {t.announced.lifetime: e for t, e in gateway.pairs}
-        where = (plan.reader or plan.target).announced.lifetime
-        engine = engines[where]
+        engine_name = (plan.reader or plan.target).announced.lifetime
+        engine = engines[engine_name]
         alone = engine.backlog_s <= 0.001
         engine.own_backlog_s[plan.level] += plan.prefill_s
         note_prefill_start(engine, env.now, plan.prefill_s, plan.level)
-        self.placed.append((gateway, where, prompt, plan))
+        self.placed.append((gateway, engine_name, prompt, plan))
         placed = engine.placed
         note_placed(engine, prompt.parts, env.now + plan.wait_s + plan.prefill_s)
-        yield from self._read(where, prompt, plan, came_at + kind.patience_s)
+        yield from self._read(engine_name, prompt, plan, came_at + kind.patience_s)
         left = engine.own_backlog_s[plan.level] - plan.prefill_s
         engine.own_backlog_s[plan.level] = max(0.0, left)
-        outcome.believed_s += plan.prefill_s
+        outcome.estimated_busy_s += plan.prefill_s
         seconds = env.now - came_at - plan.fetch_s
         context = prompt.tokens - plan.uncached_tokens
         measured = PrefillSample(plan.uncached_tokens, context, seconds)
@@ -263,7 +268,7 @@
         yield from self._answer(gateway, kind, prompt, plan, came_at)
 
     def _answer(self, gateway, kind, prompt, plan, came_at):
-        """Begin the answer to a prompt that was read; the rest of it counts nothing."""
+        """Begin the answer to a prefilled prompt; its other events take no time."""
         env = self.env
         if plan.reader is not None:
             host = choose_decode_target(
@@ -278,27 +283,28 @@
             note(gateway.turns, env.now, kind.name, prompt.tokens)
         self._note_end(kind, prompt, env.now - came_at)
 
-    def _read(self, where, prompt, plan, gives_up_at):
-        """Have an engine read what neither its real cache nor the holder's has."""
-        urgency = REQUEST_PRIORITIES[plan.level]
-        env, held = self.env, self.held[where]
+    def _read(self, engine_name, prompt, plan, gives_up_at):
+        """Prefill what is neither in the engine's own cache nor in the source's."""
+        request_priority = REQUEST_PRIORITIES[plan.level]
+        env, held = self.env, self.held[engine_name]
         yield env.timeout(self.load.way_s / 2)
-        with self.servers[where].request(priority=urgency) as turn:
+        with self.servers[engine_name].request(priority=request_priority) as turn:
             yield turn
-            # Several kinds: a caller that left is not read for, as on real engines.
+            # With several kinds, requests of callers that gave up are dropped, as on
+            # real engines.
             if not self.load.kinds or env.now < gives_up_at:
                 yield from self._read_busily(
-                    where, self._find_busy_s(where, prompt, plan)
+                    engine_name, self._find_busy_s(engine_name, prompt, plan)
                 )
                 note_placed(held, prompt.parts)
         yield env.timeout(self.load.way_s / 2)
 
-    def _read_busily(self, where, busy_s):
-        """Have an engine be busy with a prompt, and with nothing else."""
+    def _read_busily(self, engine_name, busy_s):
+        """Keep an engine busy with one prompt."""
         yield self.env.timeout(busy_s)
 
-    def _find_busy_s(self, where, prompt, plan):
-        held = self.held[where]
+    def _find_busy_s(self, engine_name, prompt, plan):
+        held = self.held[engine_name]
         cached = count_cached(held, prompt)
         if plan.holder is not None:
             there = self.held[plan.holder.announced.lifetime]
@@ -307,12 +313,12 @@
         pairs_m = new * (cached + new / 2) / 1e6
         busy_s = new / self.load.tokens_per_s + pairs_m * PAIRS_S_PER_M
         busy_s *= 1.0 if held.prefill_only else HALF
-        busy_s *= SLOW if where in self.load.slow else 1.0
+        busy_s *= SLOW if engine_name in self.load.slow else 1.0
         self.outcome.busy_s += busy_s
         return busy_s
 
     def _note_end(self, kind, prompt, taken_s):
-        """Note how a request ended; it was refused if it took no time at all."""
+        """Record the end of a request; `taken_s` is None if it was refused."""
         outcome = self.outcome
         in_time = taken_s is not None and taken_s <= kind.latency_objective_s
         served = taken_s is not None and taken_s <= kind.patience_s
@@ -328,7 +334,7 @@
 
 
 def _make_only_kind(load):
-    """Describe the one kind of a load that names none."""
+    """Make the one kind of a load that has no kinds."""
     return Kind(
         "",
         load.per_s,
--- a/tests/core/test_prefillmodel.py
+++ b/tests/core/test_prefillmodel.py
@@ -15,57 +15,58 @@
     note_sample,
 )
 
-READER = (0.006, 0.0156, 0.000647)
-"""An engine that reads 64,000 tokens a second at the most, slower behind others."""
+ENGINE = (0.006, 0.0156, 0.000647)
+"""Coefficients of an engine that prefills at most 64,000 tokens per second, and slower
+with more context."""
 
 
-def take_seconds(true, new, context):
+def compute_seconds(true, new, context):
     pairs = new * (context + new / 2) / 1e6
     return true[0] + true[1] * new / 1000 + true[2] * pairs
 
 
-def draw_reading(rng):
+def draw_prompt(rng):
     new = min(30_000.0, max(30.0, rng.lognormvariate(7.5, 1.0)))
     return new, rng.choice((0.0, 400.0, 6000.0, 13_000.0))
 
 
-def learn(pace, true, count, seed=1, waits=0.1):
-    """Read some prompts; a share of the readings was held up unseen."""
+def add_samples(model, true, count, seed=1, delayed_share=0.1):
+    """Add some samples; a share of them was delayed without that being known."""
     rng = random.Random(seed)
     for _ in range(count):
-        new, context = draw_reading(rng)
-        seconds = take_seconds(true, new, context) * rng.lognormvariate(0.0, 0.1)
-        if rng.random() < waits:
+        new, context = draw_prompt(rng)
+        seconds = compute_seconds(true, new, context) * rng.lognormvariate(0.0, 0.1)
+        if rng.random() < delayed_share:
             seconds *= rng.uniform(1.0, 4.0)
-        note_sample(pace, PrefillSample(new, context, seconds))
+        note_sample(model, PrefillSample(new, context, seconds))
 
 
-def list_ratios(pace, true, seed=2):
+def list_ratios(model, true, seed=2):
     rng = random.Random(seed)
-    drawn = [draw_reading(rng) for _ in range(200)]
+    drawn = [draw_prompt(rng) for _ in range(200)]
     return sorted(
-        take_seconds(true, *one) / estimate_seconds(pace, *one) for one in drawn
+        compute_seconds(true, *one) / estimate_seconds(model, *one) for one in drawn
     )
 
 
-def assert_known(pace, true):
-    ratios = list_ratios(pace, true)
+def assert_fitted(model, true):
+    ratios = list_ratios(model, true)
     middle = ratios[len(ratios) // 2]
     within = sum(0.5 <= ratio <= 2.0 for ratio in ratios)
     assert 0.8 <= middle <= 1.25
     assert within >= 0.9 * len(ratios)
 
 
-def test_nothing_is_read_in_no_time():
+def test_no_tokens_take_no_time():
     assert estimate_seconds(make_prefill_model(True), 0, 5000) == 0.0
 
 
 @pytest.mark.parametrize("factor", [0.5, 1.0, 2.0])
-def test_what_is_believed_first_hardly_counts_after_a_dozen_readings(factor):
-    first = prefillmodel.INITIAL_PREFILL_ONLY
-    pace = PrefillModel((first[0] * factor, first[1] * factor, first[2]))
-    learn(pace, READER, 12)
-    assert_known(pace, READER)
+def test_the_initial_coefficients_hardly_count_after_a_dozen_samples(factor):
+    initial = prefillmodel.INITIAL_PREFILL_ONLY
+    model = PrefillModel((initial[0] * factor, initial[1] * factor, initial[2]))
+    add_samples(model, ENGINE, 12)
+    assert_fitted(model, ENGINE)
 
 
 @settings(deadline=None, max_examples=60, derandomize=True)
@@ -76,57 +77,57 @@
     st.booleans(),
     st.integers(0, 1000),
 )
-def test_any_speed_is_learnt(constant, thousand, pairs_share, prefill_only, seed):
-    # Two orders of magnitude around today's fleets; pairs cost up to a twentieth of
-    # what a token does for each 1,000 before it.
+def test_any_speed_is_fitted(constant, thousand, pairs_share, prefill_only, seed):
+    # Two orders of magnitude around current fleets. Each 1,000 tokens of context add up
+    # to a twentieth of the time per token.
     true = (constant, thousand, thousand * pairs_share)
-    pace = make_prefill_model(prefill_only)
-    learn(pace, true, 100, seed)
-    assert_known(pace, true)
+    model = make_prefill_model(prefill_only)
+    add_samples(model, true, 100, seed)
+    assert_fitted(model, true)
 
 
-def test_a_fleet_that_turns_slow_is_known_again():
-    pace = make_prefill_model(True)
-    learn(pace, READER, 200)
-    slow = tuple(value * 4 for value in READER)
-    learn(pace, slow, 300)
-    assert_known(pace, slow)
+def test_the_fit_follows_a_fleet_that_becomes_slow():
+    model = make_prefill_model(True)
+    add_samples(model, ENGINE, 200)
+    slow = tuple(value * 4 for value in ENGINE)
+    add_samples(model, slow, 300)
+    assert_fitted(model, slow)
 
 
-def test_an_entry_that_starts_knows_what_the_others_tell():
-    teacher = make_prefill_model(True)
-    learn(teacher, READER, 100)
-    pace = make_prefill_model(True)
-    note_peer_sums(pace, "g2", teacher.own)
-    assert_known(pace, READER)
-    forget_peer_sums(pace, "g2")
-    assert pace.fitted == pytest.approx(prefillmodel.INITIAL_PREFILL_ONLY, rel=0.01)
+def test_a_gateway_that_has_just_started_uses_the_sums_of_others():
+    sender = make_prefill_model(True)
+    add_samples(sender, ENGINE, 100)
+    model = make_prefill_model(True)
+    note_peer_sums(model, "g2", sender.own)
+    assert_fitted(model, ENGINE)
+    forget_peer_sums(model, "g2")
+    assert model.fitted == pytest.approx(prefillmodel.INITIAL_PREFILL_ONLY, rel=0.01)
 
 
-def test_the_newest_word_of_an_entry_replaces_its_older_one():
-    old, new, pace = (
+def test_the_latest_sums_of_a_gateway_replace_its_earlier_ones():
+    old, new, model = (
         make_prefill_model(True),
         make_prefill_model(True),
         make_prefill_model(True),
     )
-    learn(old, tuple(value * 9 for value in READER), 100)
-    learn(new, READER, 100)
-    note_peer_sums(pace, "g2", old.own)
-    note_peer_sums(pace, "g2", new.own)
-    assert_known(pace, READER)
+    add_samples(old, tuple(value * 9 for value in ENGINE), 100)
+    add_samples(new, ENGINE, 100)
+    note_peer_sums(model, "g2", old.own)
+    note_peer_sums(model, "g2", new.own)
+    assert_fitted(model, ENGINE)
 
 
-def test_sums_of_another_version_are_passed_over():
-    pace = make_prefill_model(True)
-    note_peer_sums(pace, "g2", prefillmodel.FitSums(5.0, [1.0], [1.0]))
-    assert pace.peer_sums == {}
+def test_sums_of_another_version_are_ignored():
+    model = make_prefill_model(True)
+    note_peer_sums(model, "g2", prefillmodel.FitSums(5.0, [1.0], [1.0]))
+    assert model.peer_sums == {}
 
 
-def test_readings_without_tokens_or_time_change_nothing():
-    pace = make_prefill_model(True)
-    note_sample(pace, PrefillSample(0, 0, 0.1))
-    note_sample(pace, PrefillSample(100, 0, 0.0))
-    assert pace.own.weight == 0.0
+def test_samples_without_tokens_or_time_are_ignored():
+    model = make_prefill_model(True)
+    note_sample(model, PrefillSample(0, 0, 0.1))
+    note_sample(model, PrefillSample(100, 0, 0.0))
+    assert model.own.weight == 0.0
 
 
 @given(
@@ -135,9 +136,9 @@
         max_size=40,
     )
 )
-def test_no_reading_is_believed_to_take_less_than_nothing(readings):
-    pace = make_prefill_model(False)
-    for new, context, seconds in readings:
-        note_sample(pace, PrefillSample(new, context, seconds))
-    assert min(pace.fitted) >= 0.0
-    assert estimate_seconds(pace, 1000, 1000) >= 0.0
+def test_no_estimate_is_negative(samples):
+    model = make_prefill_model(False)
+    for new, context, seconds in samples:
+        note_sample(model, PrefillSample(new, context, seconds))
+    assert min(model.fitted) >= 0.0
+    assert estimate_seconds(model, 1000, 1000) >= 0.0
