--- a/src/robinspindle/core/entries.py
+++ b/src/robinspindle/core/entries.py
@@ -1,38 +1,39 @@
-"""Entries of the platform's list that name no target to use.
+"""Tracks invalid entries of the platform's list.
 
-Others may write there too. Such an entry is told once, with its key and why, and told
-again only if it turns bad for another reason or after it was good.
+Other programs may write to the list too. An invalid entry is logged once, with its key
+and the reason. It is logged again only if it becomes invalid for another reason, or
+after it was valid in between.
 """
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-MOST_KEPT = 1024
-"""Keys that are remembered, the ones noted last: a writer may use new ones for ever."""
+MAX_KEYS = 1024
+"""Keys that are remembered, the most recent ones: a writer may use new ones forever."""
 
 
 @dataclass
 class UnusableEntries:
-    """What was told.
+    """The invalid entries that were logged.
 
     Attributes:
-        reasons: Why each key's entry can't be used.
-        total: Entries that could not be used so far, for metrics.
+        reasons: Reason for which each key's entry is invalid.
+        total: Number of invalid entries so far, for metrics.
     """
 
     reasons: OrderedDict[str, str] = field(default_factory=OrderedDict)
     total: int = 0
 
     def note(self, key: str, reason: str) -> bool:
-        """Take note of an entry that can't be used; whether that is news."""
+        """Record an invalid entry; return whether it has to be logged."""
         self.total += 1
         is_news = self.reasons.get(key) != reason
         self.reasons[key] = reason
         self.reasons.move_to_end(key)
-        while len(self.reasons) > MOST_KEPT:
+        while len(self.reasons) > MAX_KEYS:
             self.reasons.popitem(last=False)
         return is_news
 
     def forget(self, key: str) -> None:
-        """Take note that a key's entry is good, or gone."""
+        """Record that a key's entry is valid or gone."""
         self.reasons.pop(key, None)
--- a/src/robinspindle/core/eras.py
+++ b/src/robinspindle/core/eras.py
@@ -1,23 +1,23 @@
-"""Eras of the platform's store: it may return from a copy and have lost the newest.
+"""Eras of the platform's store, which may be restored from a backup.
 
-Each return begins a new era. Offsets go back and are given out again, so what was read
-or acknowledged in one era says nothing in the next.
+A restore loses the latest records and begins a new era. Offsets go back and are
+assigned again, so what was read or acknowledged in one era is void in the next one.
 """
 
 from enum import Enum
 
 MOST_ERA = 2**20
-"""No store returns from a copy a million times; larger numbers are no eras."""
+"""Largest valid era: no store is restored a million times."""
 
-FENCES_AN_ERA = 1_000_000
-"""Fencing numbers of one era. Offsets go back with an era, and engines refuse a number
-lower than one they saw: the era comes first in it. There is at most one claim a second,
-so that one era has numbers for 11 days of claims without a pause, and 2,000 eras stay
-within 31 bits."""
+FENCES_PER_ERA = 1_000_000
+"""Fencing tokens per era. Offsets go back with a new era, and engines refuse a token
+lower than one that they saw, so the era is the high part of the token. There is at most
+one claim per second, so an era has tokens for 11 days of claims without a pause, and
+2,000 eras fit into 31 bits."""
 
 
 class EraChange(Enum):
-    """What the era of an answer says."""
+    """How the era of a response compares with the latest known era."""
 
     SAME = "same"
     NEWER = "newer"
@@ -25,21 +25,26 @@
 
 
 def parse_era(value: bytes) -> int | None:
-    """Read an era from its header; None for what can't be one."""
+    """Parse an era from its header; return None if it is invalid."""
     if not value.isdigit() or len(value) > len(str(MOST_ERA)):
         return None
     era = int(value)
     return era if era <= MOST_ERA else None
 
 
-def compare_eras(known: int | None, told: int) -> EraChange:
-    """Compare the era of an answer with the newest that is known; None for none yet."""
-    if known is None or told == known:
+def compare_eras(known: int | None, received: int) -> EraChange:
+    """Compare the era of a response with the latest known one.
+
+    Args:
+        known: The latest known era; None for none yet.
+        received: The era of the response.
+    """
+    if known is None or received == known:
         return EraChange.SAME
-    return EraChange.NEWER if told > known else EraChange.OLDER
+    return EraChange.NEWER if received > known else EraChange.OLDER
 
 
 def make_fence(era: int, offset: int) -> int:
-    """Make the fencing number of a claim: it rises over offsets, and over eras."""
-    # Offsets begin at 0, and a fencing number should not.
-    return era * FENCES_AN_ERA + offset + 1
+    """Make the fencing token of a lease claim: it grows with offsets and with eras."""
+    # Offsets begin at 0, fencing tokens at 1.
+    return era * FENCES_PER_ERA + offset + 1
--- a/src/robinspindle/core/events.py
+++ b/src/robinspindle/core/events.py
@@ -1,4 +1,4 @@
-"""Splits a stream of server-sent events, so that only whole ones are passed on."""
+"""Splits a stream of server-sent events, so that only complete ones are passed on."""
 
 from dataclasses import dataclass, field
 
@@ -7,12 +7,12 @@
 
 @dataclass
 class EventSplitter:
-    """A stream of events that comes in pieces.
+    """The state of a stream of events that arrives in chunks.
 
     Attributes:
-        rest: The beginning of an event that is not whole yet.
-        last_id: Id of the last whole event, None before the first with one.
-        events: Whole events so far.
+        rest: The beginning of an event that is incomplete so far.
+        last_id: Id of the last complete event with an id; None before the first one.
+        events: Number of complete events so far.
     """
 
     rest: bytes = b""
@@ -22,19 +22,19 @@
 
 
 def take_events(splitter: EventSplitter, chunk: bytes) -> bytes:
-    """Take a piece of the stream and return the whole events that it completes."""
+    """Add a chunk of the stream and return the events that it completes."""
     data = splitter.rest + chunk
     end = data.rfind(END)
     if end < 0:
         splitter.rest = data
         return b""
-    whole, splitter.rest = data[: end + len(END)], data[end + len(END) :]
-    for event in whole.split(END):
+    complete, splitter.rest = data[: end + len(END)], data[end + len(END) :]
+    for event in complete.split(END):
         if event:
             splitter.events += 1
             id = _find_id(event)
             splitter.last_id = splitter.last_id if id is None else id
-    return whole
+    return complete
 
 
 def _find_id(event: bytes) -> str | None:
--- a/src/robinspindle/core/pauses.py
+++ b/src/robinspindle/core/pauses.py
@@ -1,28 +1,31 @@
-"""Pauses of the whole process: its VM was suspended, or it was not run for a while.
+"""Detects pauses of the whole process: its VM was suspended, or it wasn't scheduled.
 
-Nothing was heard meanwhile, and nothing of what was believed before is as fresh as it
-looks. A suspended VM's running clock stands still; a steady one that counts suspension
-shows the jump. A process that is only not run sees both go on, and wakes late.
+Nothing was received during a pause, and everything known before it is older than it
+seems. There are two clocks. The monotonic clock of the gateways counts suspension
+(CLOCK_BOOTTIME); the running clock doesn't (CLOCK_MONOTONIC). After a suspension of the
+VM the first is ahead of the second. If the process only wasn't scheduled, both advance
+alike, and it wakes late.
 """
 
 from dataclasses import dataclass
 
-LEAST_SUSPENSION_S = 0.05
-"""A shorter jump between the two clocks is no suspension, seconds: they are read one
-after the other, and a VM of a third of a core may be held up between the two."""
+MIN_SUSPENSION_S = 0.05
+"""Least difference between the two clocks that counts as a suspension, seconds: they
+are read one after the other, and a VM with a third of a core may be delayed between the
+two reads."""
 
 LEAST_LATE_S = 0.5
-"""Who wakes so much later than it asked for was not run meanwhile, seconds. Timers of
-small VMs that are busy fire up to 0.1 s late; targets count as silent after 0.6 s."""
+"""Least delay of a wakeup that counts as a pause, seconds. Timers of busy small VMs
+fire up to 0.1 s late; targets count as silent after 0.6 s."""
 
 
 @dataclass
 class ClockReadings:
-    """What two clocks showed when they were last compared.
+    """The two clocks, read at about the same time.
 
     Attributes:
-        steady: The one that counts suspension, seconds.
-        running: The one that does not, seconds.
+        steady: The monotonic clock that counts suspension, seconds.
+        running: The clock that doesn't, seconds.
     """
 
     steady: float
@@ -34,7 +37,7 @@
     """A pause that has just ended.
 
     Attributes:
-        seconds: How long it lasted.
+        seconds: Duration, seconds.
         is_suspension: Whether the VM was suspended.
     """
 
@@ -43,23 +46,24 @@
 
 
 def detect_pause(
-    before: ClockReadings, after: ClockReadings, asked_s: float | None
+    before: ClockReadings, after: ClockReadings, timeout_s: float | None
 ) -> Pause | None:
-    """Find the pause between two looks at the clocks.
+    """Detect a pause between two readings of the clocks.
 
     Args:
-        before: Before a wait.
-        after: After it.
-        asked_s: How long the wait was to last at the most, seconds; None for no limit.
+        before: The clocks before a wait.
+        after: The clocks after it.
+        timeout_s: The longest time that the wait was to last, seconds; None for no
+            limit.
 
     Returns:
-        The pause; None where there was none.
+        The pause; None for none.
     """
     running_s = after.running - before.running
     suspended_s = after.steady - before.steady - running_s
-    if suspended_s >= LEAST_SUSPENSION_S:
+    if suspended_s >= MIN_SUSPENSION_S:
         return Pause(suspended_s, True)
-    if asked_s is None:
+    if timeout_s is None:
         return None
-    late_s = running_s - max(0.0, asked_s)
+    late_s = running_s - max(0.0, timeout_s)
     return Pause(late_s, False) if late_s >= LEAST_LATE_S else None
--- a/src/robinspindle/core/permits.py
+++ b/src/robinspindle/core/permits.py
@@ -1,7 +1,8 @@
-"""Whether a request may run: by its key, and by how sure the configuration is.
+"""Authorizes requests by their keys and by the age of the configuration.
 
-It is asked when a request comes, and again before each sending, as keys are taken away
-while it waits. What has begun to run stays whole.
+A request is authorized when it arrives, and checked again before each attempt, because
+its key may be revoked while it waits. A request that already runs at a target isn't
+cancelled.
 """
 
 from dataclasses import dataclass
@@ -14,11 +15,11 @@
 
 @dataclass(frozen=True)
 class Permit:
-    """By whose key a request may run.
+    """The permission of a request to run.
 
     Attributes:
-        workspace: Whose key it is; None where it needs none and shows none.
-        digest: The key's digest; None where it needs none.
+        workspace: The workspace of its key; None if it needs no key and has none.
+        digest: The digest of its key; None if it needs no key.
     """
 
     workspace: Workspace | None = None
@@ -26,20 +27,24 @@
 
 
 OPEN = Permit()
-"""What needs no key may run."""
+"""The permit of all requests if the configuration has no keys."""
 
 
 def authorize(
     table: RouteTable, route: Route, request: Request, freshness: Freshness, now: float
 ) -> Permit | Refusal:
-    """Find by whose key a request may run, or why it may not.
+    """Authorize a request by its key.
 
     Args:
-        table: The configuration in force.
+        table: The current configuration.
         route: The request's route.
         request: The request, with its key.
         freshness: What is known of the age of the configuration.
-        now: The present time, steady seconds.
+        now: The current time, monotonic seconds.
+
+    Returns:
+        The permit, or the refusal. An unknown key is refused for good only if the
+        configuration is recent enough to know all keys.
     """
     if table.keys is None:
         return OPEN
@@ -48,7 +53,7 @@
     if route.is_public:
         return Permit(workspace)
     if workspace is None:
-        # No key at all is never one that was given out since.
+        # A request without a key is invalid however old the configuration is.
         is_certain = digest is None or may_deny(freshness, now)
         return UNKNOWN_KEY if is_certain else NOT_FRESH
     if not may_serve(freshness, request.received_at):
@@ -57,7 +62,7 @@
 
 
 def is_revoked(table: RouteTable, permit: Permit) -> bool:
-    """Whether the key of a request that waits was taken away since it came."""
+    """Return whether the key of a waiting request was revoked since it arrived."""
     if permit.digest is None:
         return False
     return table.keys is None or find_owner(table.keys, permit.digest) is None
--- a/src/robinspindle/core/routes.py
+++ b/src/robinspindle/core/routes.py
@@ -1,4 +1,4 @@
-"""Routes of the operator's configuration: which service a request belongs to."""
+"""Routes of the operator's configuration, which map requests to services."""
 
 import random
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Backend:
-    """One service of a route and its share of the route's requests."""
+    """A service of a route, and its weight among the route's services."""
 
     service: str
     weight: float = 1.0
@@ -22,20 +22,21 @@
 
 @dataclass(frozen=True)
 class Route:
-    """One route.
+    """A route.
 
     Attributes:
         name: Its name, for logs.
-        host: The host that it belongs to, lower case, no port.
-        prefix: The beginning of the paths that it takes.
+        host: The host name that it matches, lower case, without a port.
+        prefix: The prefix of the paths that it matches.
         kind: ``idempotent``, ``at-most-once`` or ``stream``.
-        timeout_s: The longest that one attempt may be held, seconds.
-        latency_objective_s: The time within which an answer is worth most, seconds.
-        attempts: The most targets that one attempt may go to.
-        priority: 0 is the most urgent.
-        backends: Its services by weight.
-        resumable: Whether a broken stream may go on at another target.
-        gap_s: The longest pause between two events of a stream that is in time,
+        timeout_s: Timeout of one attempt, seconds.
+        latency_objective_s: Latency objective of an answer, seconds; it is worth most
+            within this time.
+        attempts: Most targets that one request may be sent to.
+        priority: Its priority; 0 is the highest.
+        backends: Its services and their weights.
+        resumable: Whether a broken stream may be resumed at another target.
+        gap_s: Longest gap between two events of a stream that meets the deadline,
             seconds.
         is_public: Whether its requests need no key.
     """
@@ -55,22 +56,24 @@
 
     @property
     def may_rerun(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         return self.kind == IDEMPOTENT or self.resumable
 
 
 @dataclass(frozen=True)
 class EngineSpec:
-    """What the configuration says of a service's engines.
+    """The engines of a service, as the configuration describes them.
 
     Attributes:
-        slots: Requests that one engine works on at once.
-        cache_tokens: Tokens that one engine's memory holds.
-        kv_retention_s: How long a prompt that was read is held for fetching, seconds.
-        role_change_s: How long a change of role takes an engine away, seconds.
-        event_tokens: Tokens that one event of a stream holds at the most.
-        token_transfer_s: Seconds that a token's memory takes over an engine's link;
-            None where that is not told.
+        slots: Requests that one engine processes concurrently.
+        cache_tokens: Capacity of an engine's KV cache, tokens.
+        kv_retention_s: Time for which a prefill engine keeps the KV cache of a prompt
+            for a transfer, seconds.
+        role_change_s: Time for which a role change makes an engine unavailable,
+            seconds.
+        event_tokens: Most tokens in one event of a stream.
+        token_transfer_s: Transfer time per token of the KV cache over an engine's link,
+            seconds; None for unknown.
     """
 
     slots: int
@@ -83,15 +86,15 @@
 
 @dataclass(frozen=True)
 class Service:
-    """One service.
+    """A service.
 
     Attributes:
         name: Its name.
         health_path: Path of its health check.
-        connection_limit: Connections that one target takes from all callers together.
-        engine: The shape of its engines; None for a plain service.
-        scaling: How many targets it may have in each zone; None where nobody orders
-            that.
+        connection_limit: Connections that one target accepts from all callers together.
+        engine: Its engines; None for a plain service.
+        scaling: Bounds of its number of targets per availability zone; None if nobody
+            scales it.
     """
 
     name: str
@@ -103,13 +106,13 @@
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """What a caller may send.
+    """Limits of what a caller may send.
 
     Attributes:
-        header_bytes: Longest head of a request.
-        body_bytes: Longest body of a request.
-        header_s: Longest time that a head may take, seconds.
-        idle_s: Longest rest of a connection between two requests, seconds.
+        header_bytes: Longest header section of a request, bytes.
+        body_bytes: Longest body of a request, bytes.
+        header_s: Timeout for receiving a header section, seconds.
+        idle_s: Timeout of an idle connection between two requests, seconds.
     """
 
     header_bytes: int = 16384
@@ -120,16 +123,16 @@
 
 @dataclass(frozen=True)
 class RouteTable:
-    """A whole configuration.
+    """A complete configuration.
 
     Attributes:
-        version: Its number; a higher one replaces a lower one.
+        version: Its version; a higher one replaces a lower one.
         routes: Its routes by host, the longest prefix first.
         services: Its services by name.
-        limits: What callers may send.
-        keys: The keys of workspaces; None where requests need none.
-        ranks: The rank of a request among those to its service, by the priorities of
-            its workspace (None without one) and of its route; 0 is the highest.
+        limits: Limits of what callers may send.
+        keys: The keys of workspaces; None if requests need no key.
+        ranks: The rank of a request among those to its service, by service and by the
+            pair of its workspace's and its route's priority; 0 is the highest.
     """
 
     version: int
@@ -147,7 +150,7 @@
     limits: CallerLimits,
     keys: KeyRing | None = None,
 ) -> RouteTable:
-    """Build a table whose routes can be looked up."""
+    """Build a table for looking up routes."""
     hosts: dict[str, list[Route]] = {}
     routes = list(routes)
     for route in routes:
@@ -164,9 +167,9 @@
 def find_rank(
     table: RouteTable, route: Route, service: str, workspace: Workspace | None
 ) -> int:
-    """Find the rank of a request: its workspace's priority counts before its route's.
+    """Return the rank of a request, by its workspace's priority before its route's.
 
-    Without a workspace it is the route's priority alone.
+    Without a workspace the rank is the route's priority.
     """
     if workspace is None:
         return route.priority
@@ -179,19 +182,23 @@
 ) -> dict[str, dict[tuple[int, int], int]]:
     """Rank all pairs of priorities that occur at each service.
 
-    Engines know few ranks. Counted over what occurs, none is wasted.
+    Engines support few ranks, so only pairs that occur get one.
     """
     priorities: dict[str, set[int]] = {}
     for route in routes:
         if not route.is_public:
             for backend in route.backends:
                 priorities.setdefault(backend.service, set()).add(route.priority)
-    firsts = sorted({workspace.priority for workspace in keys.owners.values()})
+    workspace_priorities = sorted(
+        {workspace.priority for workspace in keys.owners.values()}
+    )
     return {
         service: {
             pair: rank
             for rank, pair in enumerate(
-                (first, second) for first in firsts for second in sorted(found)
+                (first, second)
+                for first in workspace_priorities
+                for second in sorted(found)
             )
         }
         for service, found in priorities.items()
@@ -199,7 +206,7 @@
 
 
 def find_route(table: RouteTable, host: str, path: str) -> Route | None:
-    """Find the route of a host with the longest prefix that begins the path."""
+    """Return the route of a host with the longest prefix that matches the path."""
     for route in table.routes.get(host.lower().partition(":")[0], ()):
         if path.startswith(route.prefix):
             return route
@@ -207,7 +214,7 @@
 
 
 def choose_service(route: Route, rng: random.Random) -> str:
-    """Choose one of a route's services by weight; empty when it has none."""
+    """Choose one of a route's services by weight; empty if it has none."""
     backends = [backend for backend in route.backends if backend.weight > 0]
     if not backends:
         return ""
@@ -218,5 +225,5 @@
 
 
 def is_newer(table: RouteTable, current: RouteTable | None) -> bool:
-    """Whether a table may replace the one in force; versions never go back."""
+    """Return whether a table may replace the current one; versions never go back."""
     return current is None or table.version > current.version
--- a/src/robinspindle/core/timeofday.py
+++ b/src/robinspindle/core/timeofday.py
@@ -1,38 +1,38 @@
-"""The time of day that gateways agree on, where one of their clocks was set wrongly.
+"""Agrees on a time of day between gateways, one of whose clocks may be set wrongly.
 
-A relay hears the clocks of its group and of the other relays, and believes the one in
-the middle; its group believes the relay. Clocks that differ by no more than a datagram
-takes are as good as each other, and the own one is used. A clock is told by what it
-shows beyond the steady clock, which nobody sets: a step of the own clock changes
-nothing before it was compared with the others.
+A relay receives the clocks of its group and of the other relays, and uses the median.
+The gateways of its group use the relay's result. Clocks that differ by no more than the
+delay of a datagram count as equal, and then the gateway's own clock is used. A clock is
+expressed as its offset from the monotonic clock, which can't be set: a step of the own
+clock changes nothing until it has been compared with the others.
 """
 
 import statistics
 from collections.abc import Iterable
 
 NOISE_S = 0.25
-"""Differences up to this are put down to the way of a datagram and to waiting, seconds:
-who is heard waits behind up to 0.1 s of other work on a small machine that is busy."""
+"""Differences up to this are attributed to network and scheduling delay, seconds: a
+datagram waits behind up to 0.1 s of other work at a busy sender on a small machine."""
 
 LEAST_CLOCKS = 3
-"""With fewer clocks nobody can tell which of them is wrong."""
+"""With fewer clocks there is no majority that shows which of them is wrong."""
 
 
 MAX_CLOCK_AGE_S = 0.5
-"""A clock is not compared if what it showed may be older than this, seconds: it lay in
-a buffer while nobody read it."""
+"""A received clock that may be older than this isn't compared, seconds: its datagram
+waited unread in a buffer."""
 
 TRUST_S = 60.0
-"""How long a time of day that was agreed on is kept by a gateway that hears nobody,
-seconds, where its own clock jumps away from it."""
+"""Time for which a gateway that receives nothing keeps the agreed time of day if its
+own clock steps away from it, seconds."""
 
 
 def find_agreed_clock(own: float, others: Iterable[float]) -> float:
-    """Find the clock that is believed, as seconds beyond the own steady clock.
+    """Return the agreed clock, as an offset from the own monotonic clock in seconds.
 
     Args:
-        own: The own clock.
-        others: The clocks of peers.
+        own: The own clock, as such an offset.
+        others: The clocks of peers, as such offsets.
     """
     known = [own, *others]
     if len(known) < LEAST_CLOCKS:
@@ -40,6 +40,6 @@
     return choose_clock(own, statistics.median_low(known))
 
 
-def choose_clock(own: float, believed: float) -> float:
-    """Choose between the own clock and one that is believed: the own, if both agree."""
-    return own if abs(believed - own) <= NOISE_S else believed
+def choose_clock(own: float, agreed: float) -> float:
+    """Choose the own clock if it matches the agreed one, otherwise the agreed one."""
+    return own if abs(agreed - own) <= NOISE_S else agreed
--- a/src/robinspindle/core/workspaces.py
+++ b/src/robinspindle/core/workspaces.py
@@ -1,7 +1,8 @@
-"""Keys of workspaces: whose a key is, by digests alone.
+"""API keys of workspaces, stored and looked up as digests only.
 
-A key is known by its SHA-256. It is looked up by that digest, so that the time of a
-look-up depends neither on how many keys there are nor on how much of a key is right.
+Only the SHA-256 digest of a key is stored. Because keys are looked up by digest, the
+time of a lookup depends neither on the number of keys nor on how many characters of a
+key are correct.
 """
 
 import hashlib
@@ -9,8 +10,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-MOST_KEY_BYTES = 1024
-"""Longest key, bytes: heads of requests hold 16 KB at the most."""
+MAX_KEY_BYTES = 1024
+"""Longest key, bytes: the header section of a request holds at most 16 KB."""
 
 
 @dataclass(frozen=True)
@@ -18,9 +19,9 @@
     """A team that shares the deployment.
 
     Attributes:
-        name: Its name, as targets are told.
-        priority: The rank of its requests before that of their routes; 0 is the
-            highest.
+        name: Its name, as sent to targets.
+        priority: The priority of its requests, which counts before that of their
+            routes; 0 is the highest.
     """
 
     name: str
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True, repr=False)
 class KeyRing:
-    """All keys of a configuration.
+    """The keys of a configuration.
 
     Attributes:
         owners: The workspace of each key, by the key's digest.
@@ -39,26 +40,26 @@
 
 
 def digest_key(key: bytes) -> bytes:
-    """Digest a key; nothing else of it is kept."""
+    """Return the digest of a key; nothing else of the key is stored."""
     return hashlib.sha256(key).digest()
 
 
 def digest_bearer_key(key: str) -> str:
-    """Write the digest that an operator's configuration holds in place of a key."""
+    """Return the digest that an operator's configuration holds instead of a key."""
     return digest_key(key.encode()).hex()
 
 
 def matches_digest(key: str, digest: str) -> bool:
-    """Compare a key with a digest, in time that does not depend on them."""
+    """Compare a key with a digest in constant time."""
     return hmac.compare_digest(digest_bearer_key(key), digest)
 
 
 def find_key_fault(key: str) -> str | None:
-    """Find why a text can't be a key; None where it can. Does not quote it."""
+    """Return why a text is no valid key, without quoting it; None if it is one."""
     if not key:
         return "an empty key"
-    if len(key) > MOST_KEY_BYTES:
-        return f"a key of over {MOST_KEY_BYTES} bytes"
+    if len(key) > MAX_KEY_BYTES:
+        return f"a key of over {MAX_KEY_BYTES} bytes"
     if not key.isascii() or not key.isprintable() or " " in key:
         return "a key that holds more than printable ASCII without blanks"
     return None
@@ -70,10 +71,11 @@
     """Make a key ring.
 
     Args:
-        keys: Digests of keys, and whose they are.
+        keys: Digests of keys, each with its workspace.
 
     Returns:
-        The ring, and what is wrong: one key in two workspaces. No key is quoted.
+        The key ring, and a finding for each key that two workspaces share. Findings
+        don't quote keys.
     """
     owners: dict[bytes, Workspace] = {}
     findings = []
@@ -85,5 +87,5 @@
 
 
 def find_owner(ring: KeyRing, digest: bytes) -> Workspace | None:
-    """Find whose key has a digest; None for nobody's."""
+    """Return the workspace whose key has a digest; None for an unknown key."""
     return ring.owners.get(digest)
--- a/tests/core/test_routes.py
+++ b/tests/core/test_routes.py
@@ -21,7 +21,7 @@
     return make_table(version, routes, [], CallerLimits())
 
 
-def test_the_longest_prefix_of_the_host_wins():
+def test_the_longest_matching_prefix_of_the_host_is_chosen():
     table = make(
         make_route("short", "/a/"),
         make_route("long", "/a/b/"),
@@ -32,14 +32,14 @@
     assert find_route(table, "b.example", "/a/b/").name == "other"
 
 
-def test_a_prefix_must_begin_the_path_and_the_host_must_be_known():
+def test_an_unknown_path_or_host_has_no_route():
     table = make(make_route("a", "/a/"))
     assert find_route(table, "a.example", "/a") is None
     assert find_route(table, "a.example", "/x/a/") is None
     assert find_route(table, "c.example", "/a/") is None
 
 
-def test_a_split_is_followed_by_weight_and_a_weight_of_zero_gets_nothing():
+def test_services_are_chosen_by_weight_and_never_with_a_weight_of_zero():
     backends = (Backend("most", 9.0), Backend("few", 1.0), Backend("none", 0.0))
     route = make_route("a", "/a/", backends=backends)
     rng = random.Random(1)
@@ -48,7 +48,7 @@
     assert 50 < chosen.count("few") < 150
 
 
-def test_a_route_without_a_service_chooses_none():
+def test_a_route_without_services_chooses_none():
     assert choose_service(make_route("a", "/a/", backends=()), random.Random(1)) == ""
 
 
