--- a/src/robinspindle/core/answerstats.py
+++ b/src/robinspindle/core/answerstats.py
@@ -108,17 +108,19 @@
     def note_expected(self, route: str, service: str, events: float) -> None:
         """Record how many events a caller expects."""
         self.services[route] = service
-        known = self.events.setdefault(route, events)
-        self.events[route] = known + LENGTH_SMOOTHING * (events - known)
+        previous = self.events.setdefault(route, events)
+        self.events[route] = previous + LENGTH_SMOOTHING * (events - previous)
 
     def note_answer(self, service: str, events: int, seconds: float) -> None:
         """Record an answer: its events, and the time between first and last one."""
         if events < MIN_TIMED_EVENTS:
             return
-        known = self.find_event_s(service)
+        previous = self.find_event_s(service)
         measured_s = seconds / (events - 1)
-        weight = EVENT_SMOOTHING * (RISE_WEIGHT_FACTOR if measured_s > known else 1.0)
-        self.event_s[service] = known + weight * (measured_s - known)
+        weight = EVENT_SMOOTHING * (
+            RISE_WEIGHT_FACTOR if measured_s > previous else 1.0
+        )
+        self.event_s[service] = previous + weight * (measured_s - previous)
 
     def find_event_s(self, service: str) -> float:
         """Find the time per event without disturbance, seconds."""
@@ -140,7 +142,7 @@
         pressure.at = now
 
     def find_pressure(self, service: str, now: float) -> float:
-        """Find the duration of the longest answers per time limit; 0 if not known.
+        """Find the longest answers' duration relative to their limit; 0 if unknown.
 
         Args:
             service: The service.
@@ -164,10 +166,10 @@
             seconds: The delay, seconds.
             is_late: Whether the request misses its deadline.
         """
-        known = self.find_handoff_s(service, now, is_late)
+        previous = self.find_handoff_s(service, now, is_late)
         # Fixed steps approach the median: a few stalls of seconds hardly change it.
-        step = HANDOFF_STEP_FACTOR if seconds > known else 1 / HANDOFF_STEP_FACTOR
-        handoff_s = max(MIN_HANDOFF_S, known * step)
+        step = HANDOFF_STEP_FACTOR if seconds > previous else 1 / HANDOFF_STEP_FACTOR
+        handoff_s = max(MIN_HANDOFF_S, previous * step)
         self.handoffs[service, is_late] = Handoff(handoff_s, now)
 
     def find_handoff_s(self, service: str, now: float, is_late: bool = False) -> float:
--- a/src/robinspindle/core/decodeplacement.py
+++ b/src/robinspindle/core/decodeplacement.py
@@ -156,8 +156,8 @@
     """
     if not prompt.expected_answer_tokens:
         return math.inf
-    most_events = prompt.max_answer_tokens / event_tokens
-    events = max(1.0, min(most_events, mean_events * LONGEST_TO_MEAN_RATIO))
+    max_events = prompt.max_answer_tokens / event_tokens
+    events = max(1.0, min(max_events, mean_events * LONGEST_TO_MEAN_RATIO))
     return min(gap_s * PAUSE_LIMIT_SHARE, left_s / events)
 
 
@@ -215,8 +215,8 @@
 
 def find_fastest_event_s(pairs: list[Pair], now: float) -> float:
     """Find the shortest known time per event, seconds; 0 if none is known."""
-    known = (find_event_s(engine, now) for _, engine in pairs)
-    return min((event_s for event_s in known if event_s is not None), default=0.0)
+    known_s = (find_event_s(engine, now) for _, engine in pairs)
+    return min((event_s for event_s in known_s if event_s is not None), default=0.0)
 
 
 def _compute_long_cost_s(pair: Pair, zone: str, now: float, fastest_s: float) -> float:
--- a/src/robinspindle/core/prefillplacement.py
+++ b/src/robinspindle/core/prefillplacement.py
@@ -136,7 +136,7 @@
             one availability zone, seconds; None if not known.
         age_s: Maximum age of what other gateways have reported, seconds.
         rng: Source of random choices; None to choose by cost alone.
-        policy: The decisions in force.
+        policy: The switches of the decisions.
         is_prompt_underserved: Whether prompts of its length are underserved, so that
             it keeps the priority of its rank even if it misses its deadline.
         fastest_s: Time per event of the fastest decode engine, seconds; 0 if not known
@@ -344,7 +344,7 @@
         prompt: The prompt.
         context: What else the plans depend on.
         transfer: The cache from which parts may be fetched.
-        is_late: Whether the request misses its deadline.
+        is_late: Whether the prefill gets the level of late requests.
     """
     local_pairs = [pair for pair in prefill_candidates if not pair[1].prefill_only]
     prefill_pairs = [pair for pair in prefill_candidates if pair[1].prefill_only]
@@ -465,7 +465,7 @@
         delay_s: Time from the end of the prefill to the first event, seconds.
         decode_cost_s: Cost of the requests at the decode engine, seconds.
         context: What else the plan depends on.
-        is_late: Whether the request misses its deadline.
+        is_late: Whether the prefill gets the level of late requests.
     """
     follows_ranks = context.policy.follows_ranks
     level = find_priority_level(
--- a/tests/core/generationplay.py
+++ b/tests/core/generationplay.py
@@ -176,8 +176,8 @@
             self.env.process(self._come(kind))
         self.env.process(self._tell())
         self.env.process(self._report_answers())
-        most_s = max(answers.limit_s for answers in self.load.answers.values())
-        self.env.run(until=self.load.for_s + most_s + 1.0)
+        max_limit_s = max(answers.limit_s for answers in self.load.answers.values())
+        self.env.run(until=self.load.for_s + max_limit_s + 1.0)
         return self.outcome
 
     def _make_prompt(self, kind):
@@ -199,9 +199,9 @@
         limit_s = self.load.answers[route].limit_s
         asked = route, prompt.expected_answer_tokens
         note_arrival(gateway.answer_fairness, self.env.now, *asked)
-        at = super()._describe(gateway, kind, prompt)
+        context = super()._describe(gateway, kind, prompt)
         return replace(
-            at,
+            context,
             gap_s=self.load.answers[route].gap_s,
             is_long=stats.is_long(route, SERVICE),
             has_pause_sensitive=stats.has_pause_sensitive(SERVICE),
@@ -233,11 +233,13 @@
         while True:
             yield self.env.timeout(self.load.news_s)
             for index in range(len(self.names)):
-                flights = [g.pairs[index][0].in_flight for g in self.gateways]
+                request_counts = [g.pairs[index][0].in_flight for g in self.gateways]
                 long = [g.pairs[index][1].own_long_answers for g in self.gateways]
                 for number, gateway in enumerate(self.gateways):
                     engine = gateway.pairs[index][1]
-                    engine.peers_in_flight["others"] = sum(flights) - flights[number]
+                    engine.peers_in_flight["others"] = (
+                        sum(request_counts) - request_counts[number]
+                    )
                     engine.peers_long_answers["others"] = sum(long) - long[number]
 
     def _read_busily(self, where, busy_s):
--- a/tests/core/test_prefillplacement.py
+++ b/tests/core/test_prefillplacement.py
@@ -282,9 +282,9 @@
     assert prefillplacement.should_refuse(
         choose_plan(pairs, CHAT_PROMPT, context), 15.0
     )
-    due = dataclasses.replace(context, is_answer_underserved=True)
+    underserved = dataclasses.replace(context, is_answer_underserved=True)
     assert not prefillplacement.should_refuse(
-        choose_plan(pairs, CHAT_PROMPT, due), 15.0
+        choose_plan(pairs, CHAT_PROMPT, underserved), 15.0
     )
     later = dataclasses.replace(context, now=10.0 + interference.EVENT_MAX_AGE_S + 0.1)
     assert not prefillplacement.should_refuse(
