--- a/src/robinspindle/core/agentcontrol.py
+++ b/src/robinspindle/core/agentcontrol.py
@@ -1,7 +1,8 @@
-"""The agent's decisions: the last word on what its target receives.
+"""Decisions of an agent, which controls the runs and orders of one target.
 
-A `Host` stands beside each target. It is fed messages, engine events and folded
-states, and answers with effects. It alone starts runs and gives orders.
+Each target has one agent, with one `AgentState`. The functions here handle messages
+from entries, engine events and replicated state, and return effects. Only the agent
+starts runs at its target and sends it orders.
 """
 
 import msgspec
@@ -21,11 +22,11 @@
     end_run,
     estimate_prefill_wait,
     estimate_wait,
+    had_no_effect,
     make_outcome,
     make_queued_request,
     make_report,
-    must_run,
-    never_ran,
+    must_complete,
     replay,
 )
 from robinspindle.core.state import State
@@ -46,98 +47,118 @@
     Tokens,
 )
 
-PREFIXES_REPORTED = 64
-STARTED_KEPT = 50_000
+MAX_REPORTED_PREFIXES = 64
+"""Most prefixes in one report; the newest are reported."""
+
+MAX_STARTED_ATTEMPTS = 50_000
+"""Started attempts that an agent remembers; the oldest are evicted."""
 
 
 def receive(
-    host: AgentState, now: float, peer: str, message: AnyMessage
+    agent: AgentState, now: float, peer: str, message: AnyMessage
 ) -> list[Effect]:
-    """Decide what to do about a message from an entry."""
-    host.last_heard_at[peer] = now
+    """Handle a message from an entry."""
+    agent.last_heard_at[peer] = now
     if isinstance(message, Hello):
-        return [Send(peer, _answer_hello(host, now, peer, message))]
+        return [Send(peer, _answer_hello(agent, now, peer, message))]
     if isinstance(message, Offer):
-        return _take_offer(host, now, peer, message)
+        return _handle_offer(agent, now, peer, message)
     if isinstance(message, Start):
-        return _start(host, now, peer, message)
+        return _handle_start(agent, now, peer, message)
     if isinstance(message, Cancel):
-        return _cancel(host, now, peer, message)
+        return _handle_cancel(agent, now, peer, message)
     if isinstance(message, Attach):
-        return _attach(host, now, peer, message)
+        return _handle_attach(agent, now, peer, message)
     return []
 
 
-def fold_state(host: AgentState, now: float, state: State) -> list[Effect]:
-    """Take in the newly folded control stream."""
-    host.state = state
-    return tick(host, now)
+def fold_state(agent: AgentState, now: float, state: State) -> list[Effect]:
+    """Apply a new replicated state from the control stream."""
+    agent.state = state
+    return tick(agent, now)
 
 
 def update_engine_state(
-    host: AgentState, now: float, found: ObservedEngine, busy: bool, boot: str
+    agent: AgentState, now: float, found: ObservedEngine, busy: bool, boot: str
 ) -> list[Effect]:
-    """Take in the engine's answer to the question what it is.
+    """Apply the engine's description of itself.
 
     Args:
-        host: The agent's state.
-        now: The present time, monotonic seconds.
-        found: What the engine is.
-        busy: Whether it is in the middle of a change.
-        boot: Name of this run of the engine; a new one means that it crashed.
+        agent: The agent's state.
+        now: The current time, monotonic seconds.
+        found: Model, adapters, role and version of the engine.
+        busy: Whether the engine is applying a change.
+        boot: Id of this lifetime of the engine. A new one means that it crashed.
     """
-    host.executor.found = found
-    host.executor.busy = busy
-    host.executor.boot = boot
-    return tick(host, now)
+    agent.executor.found = found
+    agent.executor.busy = busy
+    agent.executor.boot = boot
+    return tick(agent, now)
 
 
-def postpone_order(host: AgentState, now: float) -> None:
-    """Take in that nothing is known of an order; the engine is asked first."""
-    orders.postpone_order(host.executor, now)
+def postpone_order(agent: AgentState, now: float) -> None:
+    """Postpone an order whose outcome is unknown until the engine has been queried."""
+    orders.postpone_order(agent.executor, now)
 
 
 def end_order(
-    host: AgentState, now: float, number: int, found: ObservedEngine | None, reason: str
+    agent: AgentState,
+    now: float,
+    number: int,
+    found: ObservedEngine | None,
+    reason: str,
 ) -> list[Effect]:
-    """Take in how an order ended; without a reason it took effect."""
+    """Handle the end of an order.
+
+    Args:
+        agent: The agent's state.
+        now: The current time, monotonic seconds.
+        number: Number of the order.
+        found: The engine's new description of itself, if known.
+        reason: Why the order failed, empty if it took effect.
+    """
     if found is not None:
-        host.executor.found = found
-    if host.target is None:
+        agent.executor.found = found
+    if agent.target is None:
         return []
-    effects = orders.end_order(host.executor, host.target, number, now, reason)
-    return effects + tick(host, now)
+    effects = orders.end_order(agent.executor, agent.target, number, now, reason)
+    return effects + tick(agent, now)
 
 
-def stop(host: AgentState, now: float) -> list[Effect]:
-    """Begin a planned stop: no new work, the queue goes back, runs go on."""
-    host.is_stopping = True
-    notices = [Send(peer, make_report(host, now, peer)) for peer in host.last_heard_at]
-    return notices + tick(host, now)
+def stop(agent: AgentState, now: float) -> list[Effect]:
+    """Start a planned stop.
 
+    New work is refused, queued runs are returned and running ones continue.
+    """
+    agent.is_stopping = True
+    notices = [
+        Send(peer, make_report(agent, now, peer)) for peer in agent.last_heard_at
+    ]
+    return notices + tick(agent, now)
 
-def tick(host: AgentState, now: float) -> list[Effect]:
-    """Do what time or a change of state makes due."""
+
+def tick(agent: AgentState, now: float) -> list[Effect]:
+    """Do everything that is due at this time or after a change of state."""
     effects: list[Effect] = []
-    effects += scheduling.return_queued_runs(host, now)
-    effects += scheduling.remove_stale_runs(host, now)
-    effects += scheduling.launch_queued_runs(host, now)
-    effects += orders.decide_orders(host.executor, host.target, now, host.is_idle)
+    effects += scheduling.return_queued_runs(agent, now)
+    effects += scheduling.remove_stale_runs(agent, now)
+    effects += scheduling.launch_queued_runs(agent, now)
+    effects += orders.decide_orders(agent.executor, agent.target, now, agent.is_idle)
     return effects
 
 
 def add_tokens(
-    host: AgentState, now: float, key: tuple[str, int], texts: tuple[str, ...]
+    agent: AgentState, now: float, key: tuple[str, int], texts: tuple[str, ...]
 ) -> list[Effect]:
-    """Take in tokens from the engine and pass them on, numbered."""
-    run = host.runs.get(key)
+    """Handle tokens from the engine and send them, numbered, to the run's listeners."""
+    run = agent.runs.get(key)
     if run is None or run.status != RUNNING:
         return []
-    fresh = len(run.texts) - len(run.work.resumed)
-    if fresh == 0:
-        run.first_at = now
-        seconds = now - run.started_at - host.speed.step_s
-        admission.note_first_token(host.speed, seconds, run.work.prompt_tokens)
+    new_tokens = len(run.texts) - len(run.work.resumed)
+    if new_tokens == 0:
+        run.first_token_at = now
+        seconds = now - run.started_at - agent.speed.step_s
+        admission.note_first_token(agent.speed, seconds, run.work.prompt_tokens)
     first = len(run.texts)
     run.texts.extend(texts)
     return [
@@ -147,145 +168,161 @@
 
 
 def finish_run(
-    host: AgentState, now: float, key: tuple[str, int], finished: Finished
+    agent: AgentState, now: float, key: tuple[str, int], finished: Finished
 ) -> list[Effect]:
-    """Take in the end of a run.
+    """Handle the successful end of a run.
 
     Args:
-        host: The agent's state.
-        now: The present time, monotonic seconds.
+        agent: The agent's state.
+        now: The current time, monotonic seconds.
         key: Request id and attempt of the run.
-        finished: The end; its ids, count and report are filled in here.
+        finished: The last message. Its ids, count and report are filled in here.
     """
-    run = host.runs.get(key)
+    run = agent.runs.get(key)
     if run is None or run.status != RUNNING:
         return []
     if run.work.kind == "call":
-        admission.note_call(host.speed, now - run.started_at)
+        admission.note_call(agent.speed, now - run.started_at)
     else:
-        admission.note_answer_length(host.speed, run.work.workspace, len(run.texts))
+        admission.note_answer_length(agent.speed, run.work.workspace, len(run.texts))
         steps = len(run.texts) - len(run.work.resumed) - 1
-        admission.note_steps(host.speed, now - run.first_at, steps)
-    effects = end_run(host, now, run, finished)
+        admission.note_steps(agent.speed, now - run.first_token_at, steps)
+    effects = end_run(agent, now, run, finished)
     if run.work.key:
         effects.append(AppendClaim(make_outcome(run, finished)))
-    return effects + tick(host, now)
+    return effects + tick(agent, now)
 
 
 def fail_run(
-    host: AgentState, now: float, key: tuple[str, int], ran: Ran, reason: str
+    agent: AgentState, now: float, key: tuple[str, int], ran: Ran, reason: str
 ) -> list[Effect]:
-    """Take in that a run broke off, and what is known of its effect."""
-    run = host.runs.get(key)
+    """Handle the failure of a run.
+
+    Args:
+        agent: The agent's state.
+        now: The current time, monotonic seconds.
+        key: Request id and attempt of the run.
+        ran: Whether the run had an effect.
+        reason: Why the run failed.
+    """
+    run = agent.runs.get(key)
     if run is None or run.status != RUNNING:
         return []
     failed = Failed(request="", attempt=0, ran=ran, reason=reason)
     if ran == "no":
-        host.started.pop(key, None)
-    effects = end_run(host, now, run, failed)
-    return effects + tick(host, now)
+        agent.started.pop(key, None)
+    effects = end_run(agent, now, run, failed)
+    return effects + tick(agent, now)
 
 
-def update_prefixes(host: AgentState, prefixes: tuple[str, ...]) -> None:
-    """Take in what the engine's cache holds, as far as its events tell."""
-    if prefixes != host.prefixes:
-        host.prefixes = prefixes
-        host.prefix_version += 1
+def update_prefixes(agent: AgentState, prefixes: tuple[str, ...]) -> None:
+    """Apply the list of prefixes in the engine's KV cache, from its events."""
+    if prefixes != agent.prefixes:
+        agent.prefixes = prefixes
+        agent.prefix_version += 1
 
 
-def _answer_hello(host: AgentState, now: float, peer: str, hello: Hello) -> Report:
-    report = make_report(host, now, peer)
-    if hello.prefix_version == host.prefix_version:
+def _answer_hello(agent: AgentState, now: float, peer: str, hello: Hello) -> Report:
+    report = make_report(agent, now, peer)
+    if hello.prefix_version == agent.prefix_version:
         return report
-    # The long part of a report, sent only to entries that don't have it yet.
-    prefixes = host.prefixes[-PREFIXES_REPORTED:]
+    # The list of prefixes is long, so it is sent only to entries with an older one.
+    prefixes = agent.prefixes[-MAX_REPORTED_PREFIXES:]
     return msgspec.structs.replace(report, prefixes=prefixes)
 
 
-def _take_offer(host: AgentState, now: float, peer: str, offer: Offer) -> list[Effect]:
+def _handle_offer(
+    agent: AgentState, now: float, peer: str, offer: Offer
+) -> list[Effect]:
     work = offer.work
-    admission.note_offered_work(host.offered_load, now, work)
-    refusal = _find_refusal(host, now, offer)
+    admission.note_offered_work(agent.offered_load, now, work)
+    refusal = _find_refusal(agent, now, offer)
     if refusal.reason:
         refused = Refused(
             request=work.request,
             attempt=offer.attempt,
             reason=refusal.reason,
             retry_s=refusal.retry_s,
-            report=make_report(host, now, peer),
+            report=make_report(agent, now, peer),
         )
         return [Send(peer, refused)]
     run = Run(
         work=work,
         attempt=offer.attempt,
         status=QUEUED if work.repeatable else RESERVED,
-        waiting=make_queued_request(host, now, offer),
+        queued_request=make_queued_request(agent, now, offer),
         listeners={(peer, work.request): None},
         texts=list(work.resumed),
     )
-    host.runs[(work.request, offer.attempt)] = run
-    launched = scheduling.launch_queued_runs(host, now)
+    agent.runs[(work.request, offer.attempt)] = run
+    launched = scheduling.launch_queued_runs(agent, now)
     accepted = Accepted(
         request=work.request,
         attempt=offer.attempt,
         reserved=not work.repeatable,
-        report=make_report(host, now, peer),
+        report=make_report(agent, now, peer),
     )
     return [Send(peer, accepted), *launched]
 
 
 def _find_refusal(
-    host: AgentState, now: float, offer: Offer
+    agent: AgentState, now: float, offer: Offer
 ) -> admission.AdmissionDecision:
     work = offer.work
-    if not host.is_serving:
+    if not agent.is_serving:
         return admission.AdmissionDecision("leaving", scheduling.LEAVING_RETRY_S)
-    if host.target.pool != work.pool:
+    if agent.target.pool != work.pool:
         return admission.AdmissionDecision("pool")
-    if work.adapter and work.adapter not in host.target.adapters:
+    if work.adapter and work.adapter not in agent.target.adapters:
         return admission.AdmissionDecision("pool")
-    waiting = make_queued_request(host, now, offer)
-    wait_s = estimate_wait(host, now, waiting)
-    if is_long_prefill(waiting.prefill_s):
-        wait_s = max(wait_s, estimate_prefill_wait(host, now, waiting))
-    queue_s = host.configuration.policy.queue_s
-    return admission.decide_admission(waiting, now, wait_s, queue_s)
+    queued_request = make_queued_request(agent, now, offer)
+    wait_s = estimate_wait(agent, now, queued_request)
+    if is_long_prefill(queued_request.prefill_s):
+        wait_s = max(wait_s, estimate_prefill_wait(agent, now, queued_request))
+    queue_s = agent.configuration.policy.queue_s
+    return admission.decide_admission(queued_request, now, wait_s, queue_s)
 
 
-def _start(host: AgentState, now: float, peer: str, start: Start) -> list[Effect]:
-    run = host.runs.get((start.request, start.attempt))
+def _handle_start(
+    agent: AgentState, now: float, peer: str, start: Start
+) -> list[Effect]:
+    run = agent.runs.get((start.request, start.attempt))
     if run is None or run.status != RESERVED:
         refused = Refused(
             request=start.request, attempt=start.attempt, reason="expired"
         )
         return [Send(peer, refused)]
     run.status = QUEUED
-    _remember_start(host, (start.request, start.attempt))
-    return scheduling.launch_queued_runs(host, now)
+    _remember_start(agent, (start.request, start.attempt))
+    return scheduling.launch_queued_runs(agent, now)
 
 
-def _remember_start(host: AgentState, key: tuple[str, int]) -> None:
-    host.started[key] = None
-    if len(host.started) > STARTED_KEPT:
-        del host.started[next(iter(host.started))]
-        host.has_evicted_starts = True
+def _remember_start(agent: AgentState, key: tuple[str, int]) -> None:
+    agent.started[key] = None
+    if len(agent.started) > MAX_STARTED_ATTEMPTS:
+        del agent.started[next(iter(agent.started))]
+        agent.has_evicted_starts = True
 
 
-def _cancel(host: AgentState, now: float, peer: str, cancel: Cancel) -> list[Effect]:
-    run = host.runs.get((cancel.run, cancel.attempt))
+def _handle_cancel(
+    agent: AgentState, now: float, peer: str, cancel: Cancel
+) -> list[Effect]:
+    run = agent.runs.get((cancel.run, cancel.attempt))
     if run is None or run.status == ENDED:
         return []
     drop_listener(run, peer, cancel.request)
-    if run.listeners or must_run(run):
+    if run.listeners or must_complete(run):
         return []
     run.cancel_at = now + cancel.grace_s
-    return tick(host, now)
+    return tick(agent, now)
 
 
-def _attach(host: AgentState, now: float, peer: str, attach: Attach) -> list[Effect]:
-    run = _find_run(host, attach)
-    if run is None or run.status == RESERVED or never_ran(run):
-        return _deny(host, now, peer, attach, run)
+def _handle_attach(
+    agent: AgentState, now: float, peer: str, attach: Attach
+) -> list[Effect]:
+    run = _find_run(agent, attach)
+    if run is None or run.status == RESERVED or had_no_effect(run):
+        return _deny(agent, now, peer, attach, run)
     if run.status == ENDED and run.end is None:
         return [Send(peer, _answer_attach(attach, run.attempt, "unknown"))]
     run.listeners[(peer, attach.request)] = None
@@ -299,29 +336,30 @@
 
 
 def _deny(
-    host: AgentState, now: float, peer: str, attach: Attach, run: Run | None
+    agent: AgentState, now: float, peer: str, attach: Attach, run: Run | None
 ) -> list[Effect]:
-    """Answer that there is no run, and see to it that there never will be one.
+    """Answer an attach to a run that was not started, and ensure that it never starts.
 
-    Only the incarnation that made the reservation can know. Without a reservation
-    it starts nothing, so what it has not started so far never starts.
+    Only the incarnation that made the reservation can state that the run has not
+    started. It starts no run without a reservation, so a run that is neither reserved
+    nor started will never start.
     """
     key = (attach.run, attach.attempt)
-    knows = attach.incarnation == host.incarnation and not host.has_evicted_starts
-    status = "not run" if knows and key not in host.started else "unknown"
+    is_known = attach.incarnation == agent.incarnation and not agent.has_evicted_starts
+    status = "not run" if is_known and key not in agent.started else "unknown"
     if run is not None and run.status == RESERVED:
         run.status = ENDED
         run.ended_at = now
     denied = Send(peer, _answer_attach(attach, attach.attempt, status))
-    return [denied, *tick(host, now)]
+    return [denied, *tick(agent, now)]
 
 
-def _find_run(host: AgentState, attach: Attach) -> Run | None:
+def _find_run(agent: AgentState, attach: Attach) -> Run | None:
     if attach.attempt >= 0:
-        return host.runs.get((attach.run, attach.attempt))
+        return agent.runs.get((attach.run, attach.attempt))
     found = [
         run
-        for run in host.runs.values()
+        for run in agent.runs.values()
         if run.work.request == attach.run and run.work.workspace == attach.workspace
     ]
     return found[-1] if found else None
--- a/src/robinspindle/core/runs.py
+++ b/src/robinspindle/core/runs.py
@@ -1,4 +1,4 @@
-"""Runs at a target and all that its agent knows."""
+"""Runs at a target, and the state of the target's agent."""
 
 from dataclasses import dataclass, field
 
@@ -15,37 +15,44 @@
 QUEUED = "queued"
 RUNNING = "running"
 ENDED = "ended"
-RESERVATION_S = 5.0
-KEEP_ENDED_S = 30.0
+RESERVATION_TIMEOUT_S = 5.0
+"""A reservation without a start expires after this time, seconds."""
+
+ENDED_RUN_RETENTION_S = 30.0
+"""How long an ended run is kept, so that its events can be replayed, seconds."""
+
 ORDINARY_PRIORITY = 9
+"""Priority for which the reported waits are estimated."""
 
 
 @dataclass
 class Run:
-    """One attempt at a request, at this target.
+    """One attempt at a request, at this target. All times are monotonic seconds.
 
     Attributes:
         work: The request.
-        attempt: Number of the try.
+        attempt: Number of the attempt.
         status: ``reserved``, ``queued``, ``running`` or ``ended``.
-        waiting: Its place in the queue.
-        listeners: Who gets its events: a peer, and the request id it uses.
-        texts: Tokens so far, those delivered before this run first.
-        started_at: When the engine got it.
-        first_at: When its first token came.
-        ended_at: When it ended.
-        cancel_at: When it is dropped because nobody listens, None while one does.
-        end: Its last message.
+        queued_request: Deadlines and estimates of the request, for the queue.
+        listeners: Recipients of the run's events: an entry, and the request id under
+            which it knows the run. The values are unused.
+        texts: Tokens so far, beginning with those delivered before this run.
+        started_at: When the run was sent to the engine or service, 0 before.
+        first_token_at: When the first token arrived, 0 before.
+        ended_at: When the run ended, 0 before.
+        cancel_at: When the run is cancelled because it has no listeners, or None.
+        end: The last message of the run, or None if the run has not ended, never ran or
+            was aborted.
     """
 
     work: Work
     attempt: int
     status: str
-    waiting: admission.QueuedRequest
+    queued_request: admission.QueuedRequest
     listeners: dict[tuple[str, str], None]
     texts: list[str] = field(default_factory=list)
     started_at: float = 0.0
-    first_at: float = 0.0
+    first_token_at: float = 0.0
     ended_at: float = 0.0
     cancel_at: float | None = None
     end: Finished | Failed | None = None
@@ -53,22 +60,24 @@
 
 @dataclass
 class AgentState:
-    """All that an agent knows.
+    """State of an agent.
 
     Attributes:
         name: The target's name.
-        incarnation: Name of this run of the agent.
-        state: The folded control stream.
-        executor: What is being done about orders.
+        incarnation: Id of this lifetime of the agent's process.
+        state: Replicated state, from the control stream.
+        executor: Progress of the orders to the engine.
         speed: Measured speed of the target.
-        offered_load: Work offered lately.
+        offered_load: Recently offered work.
         runs: Runs by request id and attempt.
-        prefixes: Digests of cached prefixes, from the engine's late events.
-        prefix_version: Number of that list; 0 for the empty one at first.
+        prefixes: Digests of the prompt prefixes in the engine's KV cache. The engine's
+            cache events arrive with a delay.
+        prefix_version: Version of that list, 0 for the initial empty list.
         is_stopping: Whether the agent's process was asked to stop.
-        last_heard_at: When each peer was last heard.
-        started: Attempts of not repeatable requests that were started here.
-        has_evicted_starts: Whether an entry of ``started`` was ever dropped.
+        last_heard_at: When the last message from each entry arrived, monotonic seconds.
+        started: Request id and attempt of each start of a request that may not be
+            repeated. The values are unused; the order is that of insertion.
+        has_evicted_starts: Whether an item of ``started`` was ever evicted.
     """
 
     name: str
@@ -91,7 +100,7 @@
 
     @property
     def target(self) -> Target | None:
-        """The folded state of the target."""
+        """The replicated state of the target."""
         return self.state.targets.get(self.name)
 
     @property
@@ -107,7 +116,7 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether new work is taken."""
+        """Whether new requests are accepted."""
         target = self.target
         return (
             not self.is_stopping
@@ -120,70 +129,73 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing runs, waits or is reserved here."""
+        """Whether no run is reserved, queued or running."""
         return all(run.status == ENDED for run in self.runs.values())
 
     @property
     def can_exit(self) -> bool:
-        """Whether the process, asked to stop, has nothing under way any more."""
+        """Whether the process was asked to stop and has no work in progress."""
         return self.is_stopping and self.is_idle and self.executor.active_order < 0
 
 
-def make_report(host: AgentState, now: float, peer: str) -> Report:
-    """Tell a peer the target's load."""
-    active = list_active(host)
+def make_report(agent: AgentState, now: float, peer: str) -> Report:
+    """Make the report of the target's load for an entry."""
+    active = list_active(agent)
     running = [run for run in active if run.status == RUNNING]
     return Report(
-        target=host.name,
-        incarnation=host.incarnation,
-        serving=host.is_serving,
-        stopping=host.is_stopping,
+        target=agent.name,
+        incarnation=agent.incarnation,
+        serving=agent.is_serving,
+        stopping=agent.is_stopping,
         running=len(running),
         queued=len(active) - len(running),
         own=sum(1 for run in active if any(name == peer for name, _ in run.listeners)),
-        wait_s=estimate_wait(host, now, None),
-        prefill_wait_s=estimate_prefill_wait(host, now, None),
-        own_prefill_s=_sum_own_unread(active, now, peer),
-        prefill_s=host.speed.fastest_prefill_s,
-        step_s=host.speed.fastest_step_s,
-        slots=host.section.slots if host.section else 1,
-        prefix_version=host.prefix_version,
+        wait_s=estimate_wait(agent, now, None),
+        prefill_wait_s=estimate_prefill_wait(agent, now, None),
+        own_prefill_s=_sum_own_pending_prefill(active, now, peer),
+        prefill_s=agent.speed.fastest_prefill_s,
+        step_s=agent.speed.fastest_step_s,
+        slots=agent.section.slots if agent.section else 1,
+        prefix_version=agent.prefix_version,
         prompt_rate=admission.compute_rate(
-            host.offered_load.prompt_tokens, host.offered_load, now
+            agent.offered_load.prompt_tokens, agent.offered_load, now
         ),
         token_rate=admission.compute_rate(
-            host.offered_load.answer_tokens, host.offered_load, now
+            agent.offered_load.answer_tokens, agent.offered_load, now
         ),
-        offset=host.state.offset,
+        offset=agent.state.offset,
     )
 
 
 def make_queued_request(
-    host: AgentState, now: float, offer: Offer
+    agent: AgentState, now: float, offer: Offer
 ) -> admission.QueuedRequest:
-    """Estimate what an offered request takes here."""
+    """Make the queue data of an offered request, with estimates for this target."""
     return admission.QueuedRequest(
         work=offer.work,
         deadline=now + offer.left_s,
         first_token_deadline=now + offer.first_left_s,
         queued_at=now,
-        service_s=admission.estimate_service(host.speed, offer.work),
-        prefill_s=admission.estimate_prefill(host.speed, offer.work),
+        service_s=admission.estimate_service(agent.speed, offer.work),
+        prefill_s=admission.estimate_prefill(agent.speed, offer.work),
     )
 
 
 def estimate_wait(
-    host: AgentState, now: float, newcomer: admission.QueuedRequest | None
+    agent: AgentState, now: float, new_request: admission.QueuedRequest | None
 ) -> float:
-    """Estimate the wait for a slot, of ordinary work where there is no newcomer."""
-    active = list_active(host)
+    """Estimate the wait of a new request for a slot, seconds.
+
+    Without a request, the estimate is for one of ordinary priority.
+    """
+    active = list_active(agent)
     remaining = [
-        max(0.0, run.started_at + run.waiting.service_s - now)
+        max(0.0, run.started_at + run.queued_request.service_s - now)
         for run in active
         if run.status == RUNNING
     ]
-    priority = newcomer.work.priority if newcomer else ORDINARY_PRIORITY
-    slots = host.section.slots if host.section else 1
+    priority = new_request.work.priority if new_request else ORDINARY_PRIORITY
+    slots = agent.section.slots if agent.section else 1
     return admission.estimate_wait(
         _list_ahead(active, priority),
         remaining,
@@ -192,55 +204,65 @@
 
 
 def estimate_prefill_wait(
-    host: AgentState, now: float, newcomer: admission.QueuedRequest | None
+    agent: AgentState, now: float, new_request: admission.QueuedRequest | None
 ) -> float:
-    """Estimate the wait of a long prompt until it is read."""
-    active = list_active(host)
-    unread = sum(
-        max(0.0, run.started_at + run.waiting.prefill_s - now)
+    """Estimate the wait of a long prompt for its prefill, seconds.
+
+    Without a request, the estimate is for one of ordinary priority.
+    """
+    active = list_active(agent)
+    pending_s = sum(
+        max(0.0, run.started_at + run.queued_request.prefill_s - now)
         for run in active
-        if is_reading_long(run)
+        if is_prefilling_long_prompt(run)
     )
-    priority = newcomer.work.priority if newcomer else ORDINARY_PRIORITY
-    return admission.estimate_prefill_wait(_list_ahead(active, priority), unread)
+    priority = new_request.work.priority if new_request else ORDINARY_PRIORITY
+    return admission.estimate_prefill_wait(_list_ahead(active, priority), pending_s)
 
 
-def _sum_own_unread(active: list[Run], now: float, peer: str) -> float:
-    """Add up a peer's own part of the wait for long prompts."""
-    unread = 0.0
+def _sum_own_pending_prefill(active: list[Run], now: float, peer: str) -> float:
+    """Sum the remaining prefill time of an entry's own long prompts, seconds."""
+    pending_s = 0.0
     for run in active:
-        if not routing.is_long_prefill(run.waiting.prefill_s):
+        if not routing.is_long_prefill(run.queued_request.prefill_s):
             continue
         if not any(name == peer for name, _ in run.listeners):
             continue
         if run.status != RUNNING:
-            unread += run.waiting.prefill_s
-        elif is_reading_long(run):
-            unread += max(0.0, run.started_at + run.waiting.prefill_s - now)
-    return unread
+            pending_s += run.queued_request.prefill_s
+        elif is_prefilling_long_prompt(run):
+            pending_s += max(0.0, run.started_at + run.queued_request.prefill_s - now)
+    return pending_s
 
 
-def is_reading_long(run: Run) -> bool:
-    """Whether the engine is reading a long prompt for a run."""
-    is_unread = run.status == RUNNING and run.first_at == 0.0
-    return is_unread and routing.is_long_prefill(run.waiting.prefill_s)
+def is_prefilling_long_prompt(run: Run) -> bool:
+    """Whether the prefill of a long prompt is in progress for a run."""
+    is_prefilling = run.status == RUNNING and run.first_token_at == 0.0
+    return is_prefilling and routing.is_long_prefill(run.queued_request.prefill_s)
 
 
-def list_active(host: AgentState) -> list[Run]:
+def list_active(agent: AgentState) -> list[Run]:
     """List the runs that have not ended."""
-    return [run for run in host.runs.values() if run.status != ENDED]
+    return [run for run in agent.runs.values() if run.status != ENDED]
 
 
 def _list_ahead(active: list[Run], priority: int) -> list[admission.QueuedRequest]:
     return [
-        run.waiting
+        run.queued_request
         for run in active
         if run.status != RUNNING and run.work.priority <= priority
     ]
 
 
 def replay(run: Run, peer: str, request: str, after: int) -> list[Effect]:
-    """Send a run's events again from a token on."""
+    """Send a run's events to a listener again.
+
+    Args:
+        run: The run.
+        peer: The entry to send to.
+        request: The request id under which the entry knows the run.
+        after: Number of tokens that the entry already has.
+    """
     effects: list[Effect] = []
     texts = tuple(run.texts[after:])
     if texts:
@@ -252,9 +274,9 @@
 
 
 def end_run(
-    host: AgentState, now: float, run: Run, end: Finished | Failed
+    agent: AgentState, now: float, run: Run, end: Finished | Failed
 ) -> list[Effect]:
-    """End a run and tell its listeners."""
+    """End a run and send its last message to its listeners."""
     run.status = ENDED
     run.ended_at = now
     run.end = end
@@ -272,7 +294,7 @@
     for peer, request in run.listeners:
         message = _address(run.end, request, run.attempt)
         if isinstance(message, Finished):
-            report = make_report(host, now, peer)
+            report = make_report(agent, now, peer)
             message = msgspec.structs.replace(message, report=report)
         effects.append(Send(peer, message))
     return effects
@@ -283,7 +305,7 @@
 
 
 def make_outcome(run: Run, finished: Finished) -> Outcome:
-    """Make the record that answers a caller's later retry."""
+    """Make the claim record that stores the answer for the caller's later retries."""
     body = finished.body
     if run.work.kind == "generate":
         body = "".join(run.texts).encode()
@@ -302,17 +324,20 @@
 
 
 def drop_listener(run: Run, peer: str, request: str) -> None:
-    """Send a run's events to a listener no more."""
+    """Remove a listener from a run."""
     run.listeners.pop((peer, request), None)
 
 
-def must_run(run: Run) -> bool:
-    """Whether a run goes on though nobody listens: it may not be repeated."""
+def must_complete(run: Run) -> bool:
+    """Whether a run continues without listeners, because it may not be repeated."""
     return not run.work.repeatable and run.status != RESERVED
 
 
-def never_ran(run: Run) -> bool:
-    """Whether an ended run had no effect: refused, expired or never reached."""
+def had_no_effect(run: Run) -> bool:
+    """Whether a run that may not be repeated ended without an effect.
+
+    This holds if it was refused, expired or did not reach the engine or service.
+    """
     if run.status != ENDED or run.work.repeatable:
         return False
     if run.end is None:
--- a/src/robinspindle/core/scheduling.py
+++ b/src/robinspindle/core/scheduling.py
@@ -1,35 +1,38 @@
-"""Scheduling at a target: which run begins next, and which is not to begin at all."""
+"""Scheduling at a target: starts queued runs and returns, expires or aborts others."""
 
 from robinspindle.core import admission
 from robinspindle.core.effects import Abort, Effect, Launch, Send
 from robinspindle.core.routing import is_long_prefill
 from robinspindle.core.runs import (
     ENDED,
-    KEEP_ENDED_S,
+    ENDED_RUN_RETENTION_S,
     QUEUED,
-    RESERVATION_S,
+    RESERVATION_TIMEOUT_S,
     RESERVED,
     RUNNING,
     AgentState,
     Run,
     drop_listener,
-    is_reading_long,
+    is_prefilling_long_prompt,
     make_report,
-    must_run,
+    must_complete,
 )
 from robinspindle.messages import Refused
 
 LEAVING_RETRY_S = 0.1
-ENTRY_LOST_S = 10.0
+"""Retry delay of a request that a stopping target refuses, seconds."""
 
+ENTRY_TIMEOUT_S = 10.0
+"""An entry without messages for this long no longer gets events of runs, seconds."""
 
-def launch_queued_runs(host: AgentState, now: float) -> list[Effect]:
-    """Give the engine as many waiting requests as it has free slots for."""
+
+def launch_queued_runs(agent: AgentState, now: float) -> list[Effect]:
+    """Launch queued runs as long as slots are free."""
     effects: list[Effect] = []
-    if host.section is None:
+    if agent.section is None:
         return effects
     while True:
-        run = _find_next(host)
+        run = _find_next(agent)
         if run is None:
             return effects
         run.status = RUNNING
@@ -37,48 +40,55 @@
         effects.append(Launch(run.work.request, run.attempt, run.work))
 
 
-def _find_next(host: AgentState) -> Run | None:
-    running = [run for run in host.runs.values() if run.status == RUNNING]
-    shares: dict[str, int] = {}
+def _find_next(agent: AgentState) -> Run | None:
+    running = [run for run in agent.runs.values() if run.status == RUNNING]
+    runs_by_workspace: dict[str, int] = {}
     for run in running:
-        shares[run.work.workspace] = shares.get(run.work.workspace, 0) + 1
-    is_reading = any(is_reading_long(run) for run in running)
+        runs_by_workspace[run.work.workspace] = (
+            runs_by_workspace.get(run.work.workspace, 0) + 1
+        )
+    is_prefilling_long = any(is_prefilling_long_prompt(run) for run in running)
     ready = [
         run
-        for run in host.runs.values()
+        for run in agent.runs.values()
         if run.status == QUEUED
         and len(running)
-        < admission.count_usable_slots(host.section.slots, run.work.priority)
-        and not (is_reading and is_long_prefill(run.waiting.prefill_s))
+        < admission.count_usable_slots(agent.section.slots, run.work.priority)
+        and not (is_prefilling_long and is_long_prefill(run.queued_request.prefill_s))
     ]
     if not ready:
         return None
-    return min(ready, key=lambda run: admission.make_queue_key(run.waiting, shares))
+    return min(
+        ready,
+        key=lambda run: admission.make_queue_key(run.queued_request, runs_by_workspace),
+    )
 
 
-def return_queued_runs(host: AgentState, now: float) -> list[Effect]:
-    """Give queued work back: where the target leaves, or a promise can't be kept.
+def return_queued_runs(agent: AgentState, now: float) -> list[Effect]:
+    """Return queued runs to their entries.
 
-    Its entries place it elsewhere or refuse it at once, and it was truly not run.
+    This concerns all repeatable runs if the target takes no new work, and runs that can
+    no longer meet their deadlines. The entries place the requests at other targets or
+    refuse them immediately. The returned runs have certainly not run.
     """
     effects: list[Effect] = []
-    for run in list(host.runs.values()):
+    for run in list(agent.runs.values()):
         if run.status != QUEUED:
             continue
-        if not host.is_serving and run.work.repeatable:
-            effects += _refuse_queued(host, now, run, "leaving", LEAVING_RETRY_S)
-        elif admission.cannot_meet_deadline(run.waiting, now):
+        if not agent.is_serving and run.work.repeatable:
+            effects += _refuse_queued(agent, now, run, "leaving", LEAVING_RETRY_S)
+        elif admission.cannot_meet_deadline(run.queued_request, now):
             retry_s = admission.add_retry_jitter(run.work.request, 0.0)
-            effects += _refuse_queued(host, now, run, "late", retry_s)
+            effects += _refuse_queued(agent, now, run, "late", retry_s)
     return effects
 
 
 def _refuse_queued(
-    host: AgentState, now: float, run: Run, reason: str, retry_s: float
+    agent: AgentState, now: float, run: Run, reason: str, retry_s: float
 ) -> list[Effect]:
     run.status = ENDED
     run.ended_at = now
-    host.started.pop((run.work.request, run.attempt), None)
+    agent.started.pop((run.work.request, run.attempt), None)
     return [
         Send(
             peer,
@@ -87,21 +97,24 @@
                 attempt=run.attempt,
                 reason=reason,
                 retry_s=retry_s,
-                report=make_report(host, now, peer),
+                report=make_report(agent, now, peer),
             ),
         )
         for peer, request in run.listeners
     ]
 
 
-def remove_stale_runs(host: AgentState, now: float) -> list[Effect]:
-    """Forget what ended long ago, and stop what nobody waits for any more."""
+def remove_stale_runs(agent: AgentState, now: float) -> list[Effect]:
+    """Remove old ended runs, expire reservations and abort runs without listeners."""
     effects: list[Effect] = []
-    for key, run in list(host.runs.items()):
-        _detach_lost(host, run, now)
-        if run.status == ENDED and now - run.ended_at >= KEEP_ENDED_S:
-            del host.runs[key]
-        elif run.status == RESERVED and now - run.waiting.queued_at > RESERVATION_S:
+    for key, run in list(agent.runs.items()):
+        _detach_silent_entries(agent, run, now)
+        if run.status == ENDED and now - run.ended_at >= ENDED_RUN_RETENTION_S:
+            del agent.runs[key]
+        elif (
+            run.status == RESERVED
+            and now - run.queued_request.queued_at > RESERVATION_TIMEOUT_S
+        ):
             run.status = ENDED
             run.ended_at = now
         elif run.cancel_at is not None and now >= run.cancel_at and run.status != ENDED:
@@ -112,14 +125,14 @@
     return effects
 
 
-def _detach_lost(host: AgentState, run: Run, now: float) -> None:
-    """Stop working for entries that have not been heard for long."""
-    lost = [
+def _detach_silent_entries(agent: AgentState, run: Run, now: float) -> None:
+    """Remove the listeners of entries that have timed out."""
+    timed_out = [
         (peer, request)
         for peer, request in run.listeners
-        if now - host.last_heard_at.get(peer, now) > ENTRY_LOST_S
+        if now - agent.last_heard_at.get(peer, now) > ENTRY_TIMEOUT_S
     ]
-    for peer, request in lost:
+    for peer, request in timed_out:
         drop_listener(run, peer, request)
-    if lost and not run.listeners and not must_run(run):
+    if timed_out and not run.listeners and not must_complete(run):
         run.cancel_at = now
--- a/tests/core/test_agentcontrol.py
+++ b/tests/core/test_agentcontrol.py
@@ -1,4 +1,4 @@
-"""The agent's last word: who may join a run, and what is denied truly."""
+"""The agent's control of runs: offers, starts, attaches, prefill order and stops."""
 
 from pathlib import Path
 
@@ -73,7 +73,7 @@
     assert isinstance(answers(agentcontrol.receive(agent, 1.2, "e", start))[0], Refused)
 
 
-def test_an_attach_bars_a_reservation_before_it_says_not_run(agent):
+def test_an_attach_cancels_a_reservation_before_it_is_answered_as_not_run(agent):
     agentcontrol.receive(agent, 1.0, "e", offer(repeatable=False))
     attach = Attach(request="r2", run="r1", attempt=1, incarnation="i1")
     denied = answers(agentcontrol.receive(agent, 1.1, "other", attach))[0]
@@ -82,12 +82,12 @@
     assert isinstance(answers(agentcontrol.receive(agent, 1.2, "e", start))[0], Refused)
 
 
-def test_another_incarnation_cannot_say_not_run(agent):
+def test_another_incarnation_does_not_answer_not_run(agent):
     attach = Attach(request="r2", run="r1", attempt=1, incarnation="i0")
     assert answers(agentcontrol.receive(agent, 1.0, "e", attach))[0].status == "unknown"
 
 
-def test_a_stream_is_joined_by_its_own_workspace_only(agent):
+def test_a_stream_can_be_joined_only_from_its_own_workspace(agent):
     agentcontrol.receive(agent, 1.0, "e", offer(workspace="mine"))
     agentcontrol.add_tokens(agent, 1.1, ("r1", 1), ("secret ",))
     mine = Attach(request="r2", run="r1", workspace="mine")
@@ -99,7 +99,7 @@
     assert [message.status for message in denied] == ["unknown"]
 
 
-def test_long_prompts_take_turns_and_short_ones_pass(agent):
+def test_long_prompts_run_one_at_a_time_and_short_ones_overtake(agent):
     long = {"prompt_tokens": 9000}
     first = agentcontrol.receive(agent, 1.0, "e", offer("long1", **long))
     second = agentcontrol.receive(agent, 1.0, "e", offer("long2", **long))
@@ -111,7 +111,7 @@
     assert launched == [["long1"], [], ["short"]]
 
 
-def test_a_planned_stop_hands_the_queue_back_as_not_run(agent):
+def test_a_planned_stop_returns_the_queued_runs_as_not_run(agent):
     for number in range(9):
         agentcontrol.receive(agent, 1.0, "e", offer(f"r{number}"))
     refused = [
@@ -121,7 +121,7 @@
     assert not agent.is_idle
 
 
-def test_prefixes_are_told_only_to_who_lacks_them(agent):
+def test_prefixes_are_reported_only_to_entries_with_an_older_list(agent):
     agentcontrol.update_prefixes(agent, ("p1",))
     old = answers(agentcontrol.receive(agent, 1.0, "e", Hello(prefix_version=0)))[0]
     new = answers(agentcontrol.receive(agent, 1.1, "e", Hello(prefix_version=1)))[0]
