--- a/src/robinspindle/core/activerequests.py
+++ b/src/robinspindle/core/activerequests.py
@@ -1,4 +1,4 @@
-"""Requests under way at an entry, and all that the entry knows."""
+"""Active requests of an entry, and the state from which the entry decides."""
 
 import random
 from collections.abc import Callable
@@ -18,34 +18,40 @@
 RUNNING = "running"
 
 RETRY_AFTER_S = 1.0
-ABANDONED_KEPT = 10_000
+"""Retry delay for a caller where no better estimate exists, seconds."""
+
+MAX_ABANDONED_CLAIMS = 10_000
+"""Abandoned claims that an entry remembers; the oldest are evicted."""
 
 
 @dataclass
 class ActiveRequest:
-    """A request that is under way.
+    """A request in progress at an entry. All times are monotonic seconds.
 
     Attributes:
         work: The request.
-        deadline: When its whole answer is due.
-        first_token_deadline: When its first token is due.
-        arrived_at: When it came.
-        status: What it waits for.
-        status_since: When that wait began.
-        last_event_at: When the last event of its run came.
-        target: Where the current run is.
-        run: The run's request id: its own, or that of a run it joined.
-        attempt: The run's attempt.
+        deadline: Deadline of the complete answer.
+        first_token_deadline: Deadline of the first token.
+        arrived_at: When the request arrived.
+        status: What the request waits for: ``placing`` (answer to an offer),
+            ``claiming`` (result of its idempotency claim), ``releasing`` (release of
+            its claim), ``attaching`` (answer to an attach) or ``running``.
+        status_since: When the status was set.
+        last_event_at: When the last event of the run arrived.
+        target: The target of the current run.
+        run: Request id of the run: the request's own, or that of a run it joined.
+        attempt: Attempt number of the run.
         incarnation: The agent's incarnation that reserved the run.
-        attempts: Attempts of its own so far.
-        refused_offers: Offers refused so far.
-        refusals: Targets that refused it, with their seconds to come back.
+        attempts: Number of attempts that this request has made.
+        refused_offers: Number of refused offers, except those of stopping targets.
+        refusals: Retry delay in seconds, by target that refused or lost the request.
         buffer: The answer so far.
-        tokens_at_caller: Tokens that the caller has from an earlier stream.
-        claim: The claim of its key that it goes by.
-        is_started: Whether a start was sent for the run, or it joined a started one.
-        may_have_run: Whether an attempt was lost that may have run.
-        decode_target: The target that is to go on after the prefill stage.
+        tokens_at_caller: Number of tokens that the caller has from an earlier stream.
+        claim: The idempotency claim that the request relies on.
+        is_started: Whether a start was sent for the run, or the request joined a run
+            that was started under its key.
+        may_have_run: Whether an attempt that was lost may have run.
+        decode_target: The target for the decode stage after the prefill stage.
     """
 
     work: Work
@@ -72,22 +78,25 @@
 
 @dataclass
 class Dispatcher:
-    """All that an entry knows.
+    """State of an entry.
 
     Attributes:
         name: The entry's name.
-        zone: Its availability zone.
-        rng: Source of random choices.
-        state: The folded control stream.
-        claims: The folded claims stream.
-        evidence: What is known of each target.
-        active_by_target: Own requests under way at each target.
-        active_requests: Requests under way by id.
-        abandoned_claims: Claims given up before a start, by request and attempt.
-        retry_budget: Retries that may still be made.
-        choose_target: The routing policy in force.
-        policy: Its name, and the number of entries it was made for.
-        decided_at: When it last decided anything, None before.
+        zone: The entry's availability zone.
+        rng: Source of randomness.
+        state: Replicated state, from the control stream.
+        claims: Idempotency claims, from the claims stream.
+        evidence: Health of each target, as observed by this entry.
+        active_by_target: Ids of the entry's own active requests, by target.
+        active_requests: Active requests by id.
+        abandoned_claims: Claims that were abandoned before a start was sent, by
+            request and attempt. The values are unused; the order is that of insertion.
+        retry_budget: Budget of retries.
+        choose_target: The routing policy in use.
+        policy_key: Name of the routing policy and the number of entries that it was
+            made for.
+        last_decision_at: When the entry last decided anything, monotonic seconds, or
+            None before its first decision.
     """
 
     name: str
@@ -103,8 +112,8 @@
         default_factory=lambda: retries.RetryBudget(0)
     )
     choose_target: Callable = routing.choose_least_in_flight
-    policy: tuple[str, int] = ("", 0)
-    decided_at: float | None = None
+    policy_key: tuple[str, int] = ("", 0)
+    last_decision_at: float | None = None
 
     @property
     def configuration(self) -> Configuration | None:
@@ -114,25 +123,25 @@
 
 @dataclass(frozen=True)
 class LatencyObjective:
-    """What a caller was promised.
+    """Latency objective of a request.
 
     Attributes:
-        first_s: Seconds to the first token.
-        whole_s: Seconds to the whole answer.
+        first_token_s: Time to the first token, seconds.
+        answer_s: Time to the complete answer, seconds.
     """
 
-    first_s: float
-    whole_s: float
+    first_token_s: float
+    answer_s: float
 
 
 @dataclass(frozen=True)
 class StreamResumption:
-    """A caller that comes back to its stream.
+    """A caller's request to resume a stream that was interrupted.
 
     Attributes:
-        run: The request id of the stream.
-        target: Where it ran.
-        after: Tokens that the caller has.
+        run: Request id of the stream.
+        target: The target of its run.
+        after: Number of tokens that the caller already has.
     """
 
     run: str
@@ -141,20 +150,28 @@
 
 
 def finish(entry: Dispatcher, active: ActiveRequest, ended: Ended) -> list[Effect]:
-    """End a request with its whole answer."""
+    """End a request with its complete answer."""
     _remove(entry, active)
     return [Deliver(active.work.request, ended)]
 
 
 def refuse(entry: Dispatcher, active: ActiveRequest, refusal: Refusal) -> list[Effect]:
-    """End a request with a refusal, at once."""
+    """End a request with a refusal, and cancel its run immediately."""
     effects = cancel_run(entry, active, 0.0)
     _remove(entry, active)
     return [*effects, Deliver(active.work.request, refusal)]
 
 
-def drop(entry: Dispatcher, active: ActiveRequest, grace_s: float) -> list[Effect]:
-    """End a request whose caller is gone."""
+def drop_request(
+    entry: Dispatcher, active: ActiveRequest, grace_s: float
+) -> list[Effect]:
+    """End a request whose caller has disconnected.
+
+    Args:
+        entry: The entry's state.
+        active: The request.
+        grace_s: How long its run continues for a resumption, seconds.
+    """
     effects = cancel_run(entry, active, grace_s)
     _remove(entry, active)
     return effects
@@ -163,8 +180,8 @@
 def cancel_run(
     entry: Dispatcher, active: ActiveRequest, grace_s: float
 ) -> list[Effect]:
-    """Leave the current run; a claim that waits for its verdict is abandoned."""
-    leave_target(entry, active)
+    """Cancel the current run, and abandon a claim whose result is not known yet."""
+    remove_from_target(entry, active)
     if not active.target:
         return []
     if active.status == CLAIMING:
@@ -179,24 +196,24 @@
 
 
 def abandon_claim(entry: Dispatcher, claim: Claim) -> None:
-    """Remember that no start is ever sent for a claim."""
+    """Record that a start will never be sent for a claim."""
     entry.abandoned_claims[(claim.request, claim.attempt)] = None
-    if len(entry.abandoned_claims) > ABANDONED_KEPT:
+    if len(entry.abandoned_claims) > MAX_ABANDONED_CLAIMS:
         del entry.abandoned_claims[next(iter(entry.abandoned_claims))]
 
 
-def leave_target(entry: Dispatcher, active: ActiveRequest) -> None:
-    """Count a request no more among the own work at its target."""
+def remove_from_target(entry: Dispatcher, active: ActiveRequest) -> None:
+    """Remove a request from the entry's own requests at its target."""
     entry.active_by_target.get(active.target, set()).discard(active.work.request)
 
 
 def get_run_status(active: ActiveRequest) -> str:
-    """Say what is known of a request's effect so far."""
+    """Return whether a request has run so far: no, unknown or partial."""
     if active.buffer.texts:
         return "partial"
     return "unknown" if active.may_have_run else "no"
 
 
 def _remove(entry: Dispatcher, active: ActiveRequest) -> None:
-    leave_target(entry, active)
+    remove_from_target(entry, active)
     entry.active_requests.pop(active.work.request, None)
--- a/src/robinspindle/core/claims.py
+++ b/src/robinspindle/core/claims.py
@@ -1,26 +1,27 @@
-"""Claims of idempotency keys: a request that may not be repeated runs at most once.
+"""Idempotency claims, which make a request that may not be repeated run at most once.
 
-The claims stream is folded like the control stream: the first claim of a key wins,
-from whichever entry it came. Codec: msgspec, MessagePack.
+Each entry applies the records of the claims stream in order. The first claim of a key
+wins, whichever entry it came from. Records are encoded as MessagePack by msgspec.
 """
 
 from dataclasses import dataclass, field, replace
 
 import msgspec
 
-CLAIMS_KEPT = 100_000
+MAX_CLAIMED_KEYS = 100_000
+"""Claimed keys that are kept; the oldest are evicted."""
 
 
 class Claim(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """An entry claims a key for one reserved attempt.
+    """A claim of a key for one reserved attempt, identified by request and attempt.
 
     Attributes:
         key: Workspace and idempotency key.
-        request: The request that claims it.
-        attempt: The attempt that claims it; a claim is known by both.
+        request: Id of the request that claims the key.
+        attempt: Number of the attempt that claims the key.
         digest: Digest of the caller's body.
-        target: Where a place is reserved.
-        incarnation: The agent's incarnation that reserved it.
+        target: The target at which a slot is reserved.
+        incarnation: The agent's incarnation that reserved the slot.
     """
 
     key: str
@@ -32,12 +33,12 @@
 
 
 class Release(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A claim ended without a run; its key is free again.
+    """The release of a claim that had no run. Its key is free again.
 
     Attributes:
         key: The key.
-        request: The request whose claim ended.
-        attempt: Its attempt.
+        request: Id of the request that claimed the key.
+        attempt: Number of the attempt that claimed the key.
     """
 
     key: str
@@ -46,18 +47,18 @@
 
 
 class Outcome(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The run under a claim ended; its answer is kept for the caller's retries.
+    """The outcome of the run under a claim, stored for the caller's retries.
 
     Attributes:
         key: The key.
-        request: The request that held the claim.
-        attempt: Its attempt.
-        status: HTTP status of a call's answer.
-        headers: Headers of a call's answer.
-        body: The answer; empty when it is longer than ``MAX_STORED_BODY_BYTES``.
+        request: Id of the request that claimed the key.
+        attempt: Number of the attempt that claimed the key.
+        status: HTTP status of a call's response.
+        headers: Headers of a call's response.
+        body: The answer, or empty if it is longer than ``MAX_STORED_BODY_BYTES``.
         finish: Why a generation ended.
-        count: Tokens of a generation.
-        whole: Whether the body is here.
+        count: Number of tokens of a generation.
+        whole: Whether the body is included.
     """
 
     key: str
@@ -72,11 +73,13 @@
 
 
 MAX_STORED_BODY_BYTES = 4096
+"""Longer answers are not stored in the claims stream."""
+
 AnyClaim = Claim | Release | Outcome
 
 
 class ClaimBatch(msgspec.Struct, frozen=True, kw_only=True):
-    """Several claim records in one append."""
+    """Claim records that are appended together."""
 
     records: tuple[AnyClaim, ...]
 
@@ -89,9 +92,9 @@
     """A key that is claimed.
 
     Attributes:
-        offset: Offset of the winning claim.
+        offset: Offset of the winning claim in the claims stream.
         claim: The winning claim.
-        outcome: How its run ended, if it did.
+        outcome: The outcome of its run, or None if it has not ended.
     """
 
     offset: int
@@ -101,10 +104,10 @@
 
 @dataclass
 class ClaimTable:
-    """The folded claims stream.
+    """The claimed keys, from the claims stream.
 
     Attributes:
-        offset: Offset of the last record folded.
+        offset: Offset of the last applied record.
         claimed: Claimed keys, oldest first.
     """
 
@@ -113,15 +116,21 @@
 
 
 def encode_claims(records: list[AnyClaim]) -> bytes:
-    """Encode claim records for one append."""
+    """Encode claim records as one entry of the claims stream."""
     return msgspec.msgpack.encode(ClaimBatch(records=tuple(records)))
 
 
 def apply_claims(table: ClaimTable, offset: int, data: bytes) -> tuple[AnyClaim, ...]:
-    """Fold one record of the claims stream in place.
+    """Apply one entry of the claims stream to the table, in place.
+
+    Args:
+        table: The claimed keys.
+        offset: Offset of the entry.
+        data: Its bytes.
 
     Returns:
-        The claim records that it held, in order.
+        The claim records in the entry, in order. Empty if the entry was applied
+        before or can't be decoded.
     """
     if offset <= table.offset:
         return ()
@@ -136,21 +145,25 @@
 
 
 def is_same_claim(claim: Claim, record: AnyClaim) -> bool:
-    """Whether a record speaks of this claim, and not of another of its key."""
+    """Whether a record belongs to this claim and not to another of the same key."""
     return (claim.request, claim.attempt) == (record.request, record.attempt)
 
 
 def _apply_one(table: ClaimTable, offset: int, record: AnyClaim) -> None:
-    held = table.claimed.get(record.key)
+    claimed_key = table.claimed.get(record.key)
     if isinstance(record, Claim):
-        if held is None:
+        if claimed_key is None:
             table.claimed[record.key] = ClaimedKey(offset, record)
-            if len(table.claimed) > CLAIMS_KEPT:
+            if len(table.claimed) > MAX_CLAIMED_KEYS:
                 del table.claimed[next(iter(table.claimed))]
         return
-    if held is None or held.outcome or not is_same_claim(held.claim, record):
+    if (
+        claimed_key is None
+        or claimed_key.outcome
+        or not is_same_claim(claimed_key.claim, record)
+    ):
         return
     if isinstance(record, Release):
         del table.claimed[record.key]
     else:
-        table.claimed[record.key] = replace(held, outcome=record)
+        table.claimed[record.key] = replace(claimed_key, outcome=record)
--- a/src/robinspindle/core/dispatch.py
+++ b/src/robinspindle/core/dispatch.py
@@ -1,8 +1,10 @@
-"""The entry's decisions: place each request, follow it, and end it truthfully.
+"""Decisions of an entry: places each request, tracks its run and ends it.
 
-A `Dispatcher` stands in each entry. It is fed requests, messages, folded states and
-claims, and answers with effects. Entries share nothing but the log. Time is told at
-least each `TICK_S`; where it was not, the entry was held up and has heard nothing.
+Each entry has one `Dispatcher`. The functions here handle requests, messages from
+agents, replicated state and claims, and return effects. Entries share only the log.
+One of the functions must be called at least every `TICK_S`. After a much longer
+interval the entry is assumed to have been paused, without receiving messages in that
+time.
 """
 
 from collections.abc import Callable
@@ -19,10 +21,10 @@
     Dispatcher,
     LatencyObjective,
     StreamResumption,
-    drop,
+    drop_request,
     finish,
-    leave_target,
     refuse,
+    remove_from_target,
 )
 from robinspindle.core.effects import (
     Chunk,
@@ -59,33 +61,46 @@
 )
 
 TICK_S = 0.05
-"""Interval at which `tick` is to be called, seconds."""
+"""Interval between calls of `tick`, seconds."""
 
 HELLO_S = 0.25
+"""Shortest interval between heartbeats to one target, seconds."""
+
 MOST_HELLO_S = 1.2
+"""Longest interval between heartbeats to one target, seconds. It is short enough that
+a healthy target doesn't time out."""
+
 PEERS_AT_FULL_RATE = 12
-HANG_UP_GRACE_S = 5.0
+"""Up to this number of targets, idle ones get heartbeats at the shortest interval."""
+
+DISCONNECT_GRACE_S = 5.0
+"""How long a run continues after its caller disconnected, seconds."""
 
 
 def submit(
     entry: Dispatcher,
     now: float,
     work: Work,
-    promise: LatencyObjective,
+    objective: LatencyObjective,
     resumption: StreamResumption | None = None,
 ) -> list[Effect]:
-    """Take in a request that passed its workspace's limits.
+    """Start a request that passed its workspace's limits.
 
     Args:
         entry: The entry's state.
-        now: The present time, monotonic seconds.
+        now: The current time, monotonic seconds.
         work: The request.
-        promise: What its caller was promised.
-        resumption: The earlier stream that the caller comes back to, if it does.
+        objective: The request's latency objective.
+        resumption: The stream that the caller resumes, or None for a new request.
     """
-    _note_time(entry, now)
-    due, first_due = now + promise.whole_s, now + promise.first_s
-    active = ActiveRequest(work, due, first_due, arrived_at=now, status_since=now)
+    _compensate_pause(entry, now)
+    deadline, first_token_deadline = (
+        now + objective.answer_s,
+        now + objective.first_token_s,
+    )
+    active = ActiveRequest(
+        work, deadline, first_token_deadline, arrived_at=now, status_since=now
+    )
     entry.active_requests[work.request] = active
     if entry.configuration is None:
         text = "no configuration is in force yet"
@@ -104,16 +119,16 @@
 
 
 def handle_disconnect(entry: Dispatcher, request: str) -> list[Effect]:
-    """Take note that a caller is gone; it may come back to its stream."""
+    """Handle the disconnect of a caller, which may resume its stream for a while."""
     active = entry.active_requests.get(request)
-    return drop(entry, active, HANG_UP_GRACE_S) if active else []
+    return drop_request(entry, active, DISCONNECT_GRACE_S) if active else []
 
 
 def receive(
     entry: Dispatcher, now: float, peer: str, message: AnyMessage
 ) -> list[Effect]:
-    """Decide what to do about a message from a target's agent."""
-    _note_time(entry, now)
+    """Handle a message from a target's agent."""
+    _compensate_pause(entry, now)
     evidence = entry.evidence.setdefault(peer, membership.Evidence())
     evidence.heard_at = now
     if isinstance(message, Report):
@@ -130,38 +145,38 @@
 
 
 def fold_state(entry: Dispatcher, state: State) -> None:
-    """Take in the newly folded control stream."""
+    """Apply a new replicated state from the control stream."""
     entry.state = state
     configuration = entry.configuration
     if configuration is None:
         return
     entry.retry_budget.share = configuration.policy.retry_share
     policy = (configuration.policy.routing, configuration.fleet.entries)
-    if policy != entry.policy:
-        entry.policy = policy
+    if policy != entry.policy_key:
+        entry.policy_key = policy
         entry.choose_target = routing.make_policy(*policy)
     for name in [name for name in entry.evidence if name not in state.targets]:
         del entry.evidence[name]
 
 
 def fold_claims(entry: Dispatcher, now: float, keys: set[str]) -> list[Effect]:
-    """Take in that the claims of these keys may have changed."""
-    _note_time(entry, now)
+    """Handle possible changes in the claims of these keys."""
+    _compensate_pause(entry, now)
     effects: list[Effect] = []
     for key in keys:
         effects += release_abandoned_claim(entry, key)
-    waiting = [
+    pending = [
         active
         for active in entry.active_requests.values()
         if active.work.key in keys and active.status in (CLAIMING, RELEASING)
     ]
-    for active in waiting:
+    for active in pending:
         effects += handle_claim_result(entry, active, now)
     return effects
 
 
 def apply_vm_list(entry: Dispatcher, leaving: set[str]) -> None:
-    """Take in the platform's list: the VMs that it names as leaving."""
+    """Apply the platform's list of VMs: the names of those that are leaving."""
     configuration = entry.configuration
     if configuration is None:
         return
@@ -171,37 +186,39 @@
 
 
 def tick(entry: Dispatcher, now: float) -> list[Effect]:
-    """Do what time makes due."""
-    _note_time(entry, now)
+    """Send the heartbeats that are due and check the timeouts of all requests."""
+    _compensate_pause(entry, now)
     effects: list[Effect] = []
-    effects += _greet(entry, now)
+    effects += _send_heartbeats(entry, now)
     for active in list(entry.active_requests.values()):
         effects += failover.check_timeouts(entry, active, now)
     return effects
 
 
-def _note_time(entry: Dispatcher, now: float) -> None:
-    """Find out whether the entry was held up since it last decided anything.
+def _compensate_pause(entry: Dispatcher, now: float) -> None:
+    """Extend the timeouts if the entry was paused since its last decision.
 
-    What came meanwhile may not have been read yet: a target that was not heard is not
-    silent by that, nor an offer unanswered. Deadlines stay, they are the callers'.
+    Messages that arrived during the pause may not have been read yet, so the pause
+    doesn't count towards the timeouts of targets and offers. The deadlines of requests
+    are not extended, because the callers have waited during the pause.
     """
-    before, entry.decided_at = entry.decided_at, now
-    if before is None or now - before < TICK_S + LEAST_LATE_S:
+    previous, entry.last_decision_at = entry.last_decision_at, now
+    if previous is None or now - previous < TICK_S + LEAST_LATE_S:
         return
-    held_s = now - before
+    paused_s = now - previous
     for evidence in entry.evidence.values():
-        membership.note_process_pause(evidence, now, held_s)
+        membership.note_process_pause(evidence, now, paused_s)
     for active in entry.active_requests.values():
-        active.status_since = min(now, active.status_since + held_s)
-        active.last_event_at = min(now, active.last_event_at + held_s)
+        active.status_since = min(now, active.status_since + paused_s)
+        active.last_event_at = min(now, active.last_event_at + paused_s)
 
 
-def _greet(entry: Dispatcher, now: float) -> list[Effect]:
-    """Greet the targets that are due: often where own requests are under way.
+def _send_heartbeats(entry: Dispatcher, now: float) -> list[Effect]:
+    """Send the heartbeats that are due.
 
-    Who is idle is greeted the less often the more targets there are, but never so
-    rarely that it would seem silent.
+    Targets with active requests of this entry get them at the shortest interval. For
+    idle targets the interval grows with the number of targets, but stays short enough
+    that a healthy target doesn't time out.
     """
     peers = list_peers(entry)
     idle_s = HELLO_S * max(1.0, len(peers) / PEERS_AT_FULL_RATE)
@@ -236,15 +253,15 @@
         return []
     effects: list[Effect] = []
     for active in list(entry.active_requests.values()):
-        is_there = active.target == peer and active.status in (CLAIMING, RUNNING)
-        if is_there and active.incarnation != report.incarnation:
+        is_affected = active.target == peer and active.status in (CLAIMING, RUNNING)
+        if is_affected and active.incarnation != report.incarnation:
             effects += failover.handle_lost_run(
                 entry, active, now, "the target's agent was restarted"
             )
     return effects
 
 
-def _take_accepted(
+def _handle_accepted(
     entry: Dispatcher, active: ActiveRequest, now: float, message: Accepted
 ) -> list[Effect]:
     if active.status != PLACING:
@@ -258,7 +275,7 @@
     return [Deliver(active.work.request, Started(active.target, active.run))]
 
 
-def _take_refused(
+def _handle_refused(
     entry: Dispatcher, active: ActiveRequest, now: float, message: Refused
 ) -> list[Effect]:
     if active.status in (RELEASING, ATTACHING):
@@ -269,37 +286,37 @@
         active.refused_offers += 1
     if active.is_started:
         return release_and_retry(entry, active, now)
-    leave_target(entry, active)
+    remove_from_target(entry, active)
     return place(entry, active, now)
 
 
-def _take_tokens(
+def _handle_tokens(
     entry: Dispatcher, active: ActiveRequest, now: float, message: Tokens
 ) -> list[Effect]:
     if active.status != RUNNING:
         return []
-    fresh = tokenbuffer.add_tokens(active.buffer, message.first, message.texts)
-    effects = _deliver_tokens(active, fresh)
+    new_texts = tokenbuffer.add_tokens(active.buffer, message.first, message.texts)
+    effects = _deliver_tokens(active, new_texts)
     return effects + _end_if_whole(entry, active, "stop")
 
 
-def _deliver_tokens(active: ActiveRequest, fresh: list[str]) -> list[Effect]:
-    first = len(active.buffer.texts) - len(fresh)
+def _deliver_tokens(active: ActiveRequest, new_texts: list[str]) -> list[Effect]:
+    first = len(active.buffer.texts) - len(new_texts)
     skipped = max(0, active.tokens_at_caller - first)
-    texts = tuple(fresh[skipped:])
+    texts = tuple(new_texts[skipped:])
     if not texts:
         return []
     return [Deliver(active.work.request, Chunk(first + skipped, texts))]
 
 
-def _take_finished(
+def _handle_finished(
     entry: Dispatcher, active: ActiveRequest, now: float, message: Finished
 ) -> list[Effect]:
     if active.status != RUNNING:
         return []
     membership.note_success(entry.evidence[active.target])
     if active.decode_target:
-        leave_target(entry, active)
+        remove_from_target(entry, active)
         return place(entry, active, now)
     if active.work.kind == "call":
         ended = Ended(status=message.status, headers=message.headers, body=message.body)
@@ -318,7 +335,7 @@
     return finish(entry, active, Ended(count=active.buffer.count, finish=reason))
 
 
-def _take_failed(
+def _handle_failed(
     entry: Dispatcher, active: ActiveRequest, now: float, message: Failed
 ) -> list[Effect]:
     if active.status != RUNNING:
@@ -330,13 +347,13 @@
     return failover.handle_lost_run(entry, active, now, message.reason)
 
 
-def _take_attached(
+def _handle_attached(
     entry: Dispatcher, active: ActiveRequest, now: float, message: Attached
 ) -> list[Effect]:
     if active.status not in (ATTACHING, RUNNING):
         return []
     if message.status == "joined":
-        return _join(active, now, message)
+        return _join_run(active, now, message)
     if message.status == "not run":
         return release_and_retry(entry, active, now)
     if active.status == ATTACHING and not active.work.key:
@@ -348,7 +365,7 @@
     )
 
 
-def _join(active: ActiveRequest, now: float, message: Attached) -> list[Effect]:
+def _join_run(active: ActiveRequest, now: float, message: Attached) -> list[Effect]:
     if active.status == RUNNING:
         return []
     active.status = RUNNING
@@ -359,10 +376,10 @@
 
 
 _HANDLERS: dict[type, Callable] = {
-    Accepted: _take_accepted,
-    Refused: _take_refused,
-    Tokens: _take_tokens,
-    Finished: _take_finished,
-    Failed: _take_failed,
-    Attached: _take_attached,
+    Accepted: _handle_accepted,
+    Refused: _handle_refused,
+    Tokens: _handle_tokens,
+    Finished: _handle_finished,
+    Failed: _handle_failed,
+    Attached: _handle_attached,
 }
--- a/src/robinspindle/core/failover.py
+++ b/src/robinspindle/core/failover.py
@@ -1,4 +1,8 @@
-"""Watching requests under way: what was lost goes on elsewhere, or ends truthfully."""
+"""Failover: checks active requests for timeouts and handles lost runs.
+
+A lost run is retried at another target where that is safe. Otherwise the request ends
+with a refusal that states whether it may have run.
+"""
 
 import msgspec
 
@@ -21,20 +25,45 @@
 from robinspindle.core.placement import place
 from robinspindle.messages import Attach
 
-OFFER_S = 1.0
-CLAIM_S = 3.0
-ATTACH_S = 2.0
-STALL_S = 1.0
-GAP_S = 0.05
-LOST_S = 1.5
+OFFER_TIMEOUT_S = 1.0
+"""Timeout of the answer to an offer, seconds."""
+
+CLAIM_TIMEOUT_S = 3.0
+"""Timeout of the result of a claim or release, seconds."""
+
+ATTACH_TIMEOUT_S = 2.0
+"""Timeout of the answer to an attach, seconds."""
+
+STALL_QUERY_S = 1.0
+"""A run without events for this long is queried, seconds."""
+
+GAP_QUERY_S = 0.05
+"""A run with missing tokens and no events for this long is queried, seconds."""
+
+TARGET_TIMEOUT_S = 1.5
+"""The runs of a target without messages for this long count as lost, seconds."""
+
 MIN_ATTEMPT_S = 0.05
-HARD_LIMIT_S = 120.0
+"""No retry is made with less time left before the deadline, seconds."""
+
+MAX_REQUEST_S = 120.0
+"""A running request may exceed its deadline up to this age, seconds."""
 
 
 def handle_lost_run(
     entry: Dispatcher, active: ActiveRequest, now: float, reason: str
 ) -> list[Effect]:
-    """Go on after the current run was lost: elsewhere, or say what is known."""
+    """Retry a request whose run was lost, or refuse it if a retry is not allowed.
+
+    A request that may not be repeated is not retried once its start was sent. The
+    tokens that were already delivered are not generated again.
+
+    Args:
+        entry: The entry's state.
+        active: The request.
+        now: The current time, monotonic seconds.
+        reason: Why the run counts as lost, for the caller.
+    """
     if active.is_started or (active.work.key and active.status == ATTACHING):
         return refuse(entry, active, make_unknown_refusal(reason))
     effects = cancel_run(entry, active, 0.0)
@@ -60,15 +89,15 @@
 def check_timeouts(
     entry: Dispatcher, active: ActiveRequest, now: float
 ) -> list[Effect]:
-    """Do what is due for one request: nothing waits for ever."""
+    """Check one request for timeouts, so that no request waits forever."""
     waited = now - active.status_since
-    if active.status == PLACING and waited > OFFER_S:
+    if active.status == PLACING and waited > OFFER_TIMEOUT_S:
         return handle_lost_run(entry, active, now, "the offer was not answered")
-    if active.status in (CLAIMING, RELEASING) and waited > CLAIM_S:
+    if active.status in (CLAIMING, RELEASING) and waited > CLAIM_TIMEOUT_S:
         text = "the log service can't be reached, so the request was not run"
         refusal = Refusal(503, "log_unavailable", text, "no", RETRY_AFTER_S)
         return refuse(entry, active, refusal)
-    if active.status == ATTACHING and waited > ATTACH_S:
+    if active.status == ATTACHING and waited > ATTACH_TIMEOUT_S:
         return handle_lost_run(entry, active, now, "its target does not answer")
     if active.status == RUNNING:
         return _check_run(entry, active, now)
@@ -79,25 +108,27 @@
     evidence = entry.evidence.get(active.target)
     if evidence is None or evidence.heard_at is None:
         return handle_lost_run(entry, active, now, "the target is no longer configured")
-    if now - evidence.heard_at > LOST_S:
+    if now - evidence.heard_at > TARGET_TIMEOUT_S:
         membership.note_failure(evidence, now)
         return handle_lost_run(entry, active, now, "the target fell silent")
-    if now > max(active.deadline, active.arrived_at + HARD_LIMIT_S):
-        return refuse(entry, active, _explain_too_long(active))
-    if now - active.last_event_at > (GAP_S if active.buffer.has_gap else STALL_S):
+    if now > max(active.deadline, active.arrived_at + MAX_REQUEST_S):
+        return refuse(entry, active, _make_timeout_refusal(active))
+    if now - active.last_event_at > (
+        GAP_QUERY_S if active.buffer.has_gap else STALL_QUERY_S
+    ):
         active.last_event_at = now
         return [send_run_query(active)]
     return []
 
 
-def _explain_too_long(active: ActiveRequest) -> Refusal:
+def _make_timeout_refusal(active: ActiveRequest) -> Refusal:
     ran = "unknown" if active.is_started else "partial"
-    text = f"no whole answer within {HARD_LIMIT_S:.0f} seconds"
+    text = f"no whole answer within {MAX_REQUEST_S:.0f} seconds"
     return Refusal(504, "too_long", text, ran, RETRY_AFTER_S)
 
 
 def send_run_query(active: ActiveRequest) -> Effect:
-    """Ask after a run that says nothing: its events or its start may be lost."""
+    """Query a run without events, because its start or its events may be lost."""
     attach = Attach(
         request=active.work.request,
         run=active.run,
--- a/src/robinspindle/core/idempotency.py
+++ b/src/robinspindle/core/idempotency.py
@@ -1,8 +1,8 @@
-"""Requests that may not be repeated: reserve, claim the key in the log, then start.
+"""At-most-once requests: reserve a slot, claim the key in the log, then start the run.
 
-Nothing is started before the claim is seen to have won, so a claim that is given up
-has no run. A start is sent once for an attempt and never again; after it, doubt is
-answered with "outcome unknown".
+A run is started only after the entry has read in the log that its claim has won, so an
+abandoned claim has no run. The start of an attempt is sent once and never repeated. If
+its outcome is in doubt afterwards, the caller is told that the outcome is unknown.
 """
 
 from robinspindle.core.activerequests import (
@@ -16,8 +16,8 @@
     abandon_claim,
     cancel_run,
     finish,
-    leave_target,
     refuse,
+    remove_from_target,
 )
 from robinspindle.core.claims import Claim, Release, is_same_claim
 from robinspindle.core.effects import (
@@ -35,29 +35,40 @@
 
 
 def resolve_key(entry: Dispatcher, active: ActiveRequest, now: float) -> list[Effect]:
-    """Look a key up before anything is reserved for it."""
-    held = entry.claims.claimed.get(active.work.key)
-    if held is None:
+    """Look up an idempotency key before a slot is reserved for it.
+
+    A free key leads to an offer, a stored answer is delivered again, and a run under
+    way is joined. A key that was used with a different body is refused.
+    """
+    claimed_key = entry.claims.claimed.get(active.work.key)
+    if claimed_key is None:
         return place(entry, active, now)
-    if held.claim.digest != active.work.digest:
+    if claimed_key.claim.digest != active.work.digest:
         text = "the idempotency key was used with another request"
         return refuse(entry, active, Refusal(422, "key_reused", text, "no"))
-    if held.outcome is not None and held.outcome.whole:
-        return _answer_again(entry, active, held.outcome)
-    active.claim = held.claim
+    if claimed_key.outcome is not None and claimed_key.outcome.whole:
+        return _deliver_stored_answer(entry, active, claimed_key.outcome)
+    active.claim = claimed_key.claim
     attach = Attach(
         request=active.work.request,
-        run=held.claim.request,
-        attempt=held.claim.attempt,
-        incarnation=held.claim.incarnation,
+        run=claimed_key.claim.request,
+        attempt=claimed_key.claim.attempt,
+        incarnation=claimed_key.claim.incarnation,
     )
-    return send_attach(active, now, held.claim.target, attach)
+    return send_attach(active, now, claimed_key.claim.target, attach)
 
 
 def send_attach(
     active: ActiveRequest, now: float, target: str, attach: Attach
 ) -> list[Effect]:
-    """Join a run that was begun before."""
+    """Ask a target to let the request join an earlier run.
+
+    Args:
+        active: The request.
+        now: The current time, monotonic seconds.
+        target: The target of the run.
+        attach: The message to its agent.
+    """
     active.status = ATTACHING
     active.status_since = now
     active.last_event_at = now
@@ -70,10 +81,10 @@
 
 
 def claim_key(entry: Dispatcher, active: ActiveRequest, now: float) -> list[Effect]:
-    """Go on after a place was reserved."""
+    """Claim the request's key after a slot was reserved."""
     if not active.work.key:
-        # Without a key no other request can be meant for the same run, and this
-        # entry sends one start: that alone keeps it to one run.
+        # Without a key no other request can refer to the same run. At most one run
+        # is ensured because this entry sends a single start.
         return start_run(active, now, -1)
     active.status = CLAIMING
     active.status_since = now
@@ -89,7 +100,13 @@
 
 
 def start_run(active: ActiveRequest, now: float, claim: int) -> list[Effect]:
-    """Send the one start of a reserved attempt."""
+    """Send the single start of a reserved attempt.
+
+    Args:
+        active: The request.
+        now: The current time, monotonic seconds.
+        claim: Offset of the winning claim, -1 for a request without a key.
+    """
     active.status = RUNNING
     active.status_since = now
     active.last_event_at = now
@@ -105,26 +122,35 @@
 def handle_claim_result(
     entry: Dispatcher, active: ActiveRequest, now: float
 ) -> list[Effect]:
-    """Go on after the claims stream moved for a flight's key."""
-    held = entry.claims.claimed.get(active.work.key)
-    is_own = held is not None and is_same_claim(held.claim, active.claim)
+    """Proceed after a possible change in the claims of a request's key.
+
+    The request starts its run if its own claim has won. If another claim has won, it
+    releases its reservation and resolves the key again.
+    """
+    claimed_key = entry.claims.claimed.get(active.work.key)
+    is_own_claim = claimed_key is not None and is_same_claim(
+        claimed_key.claim, active.claim
+    )
     if active.status == RELEASING:
-        if is_own:
+        if is_own_claim:
             return []
         active.claim = None
         return resolve_key(entry, active, now)
-    if held is None:
+    if claimed_key is None:
         return []
-    if is_own:
-        return start_run(active, now, held.offset)
+    if is_own_claim:
+        return start_run(active, now, claimed_key.offset)
     return cancel_run(entry, active, 0.0) + resolve_key(entry, active, now)
 
 
 def release_and_retry(
     entry: Dispatcher, active: ActiveRequest, now: float
 ) -> list[Effect]:
-    """Begin again after an attempt that truly did not run."""
-    leave_target(entry, active)
+    """Place a request again after an attempt that certainly did not run.
+
+    Its claim, if it has one, is released first.
+    """
+    remove_from_target(entry, active)
     active.is_started = False
     claim = active.claim
     if claim is None:
@@ -136,17 +162,20 @@
 
 
 def release_abandoned_claim(entry: Dispatcher, key: str) -> list[Effect]:
-    """Free a key whose winning claim this entry had given up before a start."""
-    held = entry.claims.claimed.get(key)
-    if held is None or held.outcome is not None:
+    """Release a key whose winning claim this entry abandoned before a start."""
+    claimed_key = entry.claims.claimed.get(key)
+    if claimed_key is None or claimed_key.outcome is not None:
         return []
-    if (held.claim.request, held.claim.attempt) not in entry.abandoned_claims:
+    if (
+        claimed_key.claim.request,
+        claimed_key.claim.attempt,
+    ) not in entry.abandoned_claims:
         return []
-    return [AppendClaim(_make_release(held.claim))]
+    return [AppendClaim(_make_release(claimed_key.claim))]
 
 
 def make_unknown_refusal(reason: str) -> Refusal:
-    """Tell a caller that its request may have run, and that it is not run again."""
+    """Make the refusal of a request that may have run and is not run again."""
     text = f"the outcome is not known ({reason}); it is not run again for this key"
     return Refusal(504, "outcome_unknown", text, "unknown", RETRY_AFTER_S)
 
@@ -155,8 +184,10 @@
     return Release(key=claim.key, request=claim.request, attempt=claim.attempt)
 
 
-def _answer_again(entry: Dispatcher, active: ActiveRequest, outcome) -> list[Effect]:
-    """Answer a caller's retry with the first run's answer."""
+def _deliver_stored_answer(
+    entry: Dispatcher, active: ActiveRequest, outcome
+) -> list[Effect]:
+    """Answer a caller's retry with the stored answer of the first run."""
     effects: list[Effect] = []
     ended = Ended(
         count=outcome.count,
--- a/src/robinspindle/core/placement.py
+++ b/src/robinspindle/core/placement.py
@@ -1,4 +1,4 @@
-"""Placing: offer a request to the target that the routing policy chooses."""
+"""Placement: offers a request to the target that the routing policy chooses."""
 
 import msgspec
 
@@ -15,11 +15,11 @@
 from robinspindle.core.effects import Effect, Refusal, Send
 from robinspindle.messages import Offer, Work
 
-MOST_OFFERS = 4
+MAX_OFFERS = 4
 
 
 def list_peers(entry: Dispatcher) -> list[str]:
-    """Name the targets that this entry speaks to."""
+    """List the targets that this entry exchanges messages with."""
     configuration = entry.configuration
     if configuration is None:
         return []
@@ -37,9 +37,9 @@
 def find_addresses(entry: Dispatcher) -> dict[str, str]:
     """Find the addresses of all agents that an entry needs a connection to.
 
-    Those are its peers, and the targets at which requests of it are under way: a target
-    that is added may take the place of one of them among its peers, and the answer
-    still has to come.
+    These are the agents of its peers and of all targets with its active requests. When
+    a target is added, it may replace one of these in the entry's subset of peers, but
+    the answers in progress still have to arrive.
     """
     busy = {active.target for active in entry.active_requests.values()}
     targets = entry.configuration.targets
@@ -53,81 +53,112 @@
 def place(entry: Dispatcher, active: ActiveRequest, now: float) -> list[Effect]:
     """Offer a request to the best target that has not refused it yet.
 
-    A refusal costs one round trip and no work, so it does not count against the
-    retry budget, but the number of offers is bounded.
+    A refused offer costs one round trip and no work at the target, so it doesn't use
+    the retry budget. The number of refused offers is limited instead.
     """
-    views = [
-        view
-        for view in _list_views(entry, active.work, now)
-        if view.target not in active.refusals
+    candidates = [
+        candidate
+        for candidate in _list_candidates(entry, active.work, now)
+        if candidate.target not in active.refusals
     ]
-    spent = max(active.refused_offers, active.attempts - retries.MAX_ATTEMPTS)
-    if not views or spent >= MOST_OFFERS:
-        return refuse(entry, active, _explain_no_place(entry, active))
-    view, work = _choose_stage(entry, active, views)
+    used_offers = max(active.refused_offers, active.attempts - retries.MAX_ATTEMPTS)
+    if not candidates or used_offers >= MAX_OFFERS:
+        return refuse(entry, active, _make_placement_refusal(entry, active))
+    candidate, work = _choose_stage(entry, active, candidates)
     active.attempts += 1
-    active.target = view.target
+    active.target = candidate.target
     active.run = active.work.request
     active.attempt = active.attempts
-    active.incarnation = view.report.incarnation
+    active.incarnation = candidate.report.incarnation
     active.status = PLACING
     active.status_since = now
     active.last_event_at = now
     active.is_started = False
-    entry.active_by_target[view.target].add(active.work.request)
-    return [Send(view.target, _make_offer(active, work, now))]
+    entry.active_by_target[candidate.target].add(active.work.request)
+    return [Send(candidate.target, _make_offer(active, work, now))]
 
 
 def _make_offer(active: ActiveRequest, work: Work, now: float) -> Offer:
     left_s = max(0.0, active.deadline - now)
     first_left_s = max(0.0, active.first_token_deadline - now)
-    has_begun = bool(active.buffer.texts)
+    has_first_token = bool(active.buffer.texts)
     return Offer(
         work=work,
         attempt=active.attempt,
         left_s=left_s,
-        first_left_s=left_s if has_begun else first_left_s,
+        first_left_s=left_s if has_first_token else first_left_s,
     )
 
 
 def _choose_stage(
-    entry: Dispatcher, active: ActiveRequest, views: list[routing.Candidate]
+    entry: Dispatcher, active: ActiveRequest, candidates: list[routing.Candidate]
 ) -> tuple[routing.Candidate, Work]:
-    """Choose a target, and let a prefill target read a long prompt first."""
+    """Choose a target and a stage.
+
+    A long prompt goes to a prefill target first and then to a decode target.
+    """
     work = active.work
     if active.decode_target:
-        chosen = [view for view in views if view.target == active.decode_target]
+        chosen = [
+            candidate
+            for candidate in candidates
+            if candidate.target == active.decode_target
+        ]
         active.decode_target = ""
         if chosen:
             return chosen[0], msgspec.structs.replace(work, stage="decode")
-    roles = {view.target: entry.state.targets[view.target].role for view in views}
-    whole = [view for view in views if roles[view.target] != "prefill"] or views
-    readers = [view for view in views if roles[view.target] == "prefill"]
-    decoders = [view for view in views if roles[view.target] == "decode"]
-    if not readers or not decoders or not _is_long(entry, work, whole):
-        return entry.choose_target(whole, work, entry.rng), work
-    decoding = msgspec.structs.replace(work, stage="decode")
-    decoder = entry.choose_target(decoders, decoding, entry.rng)
-    active.decode_target = decoder.target
-    address = entry.configuration.targets[decoder.target].address
-    # Reading a prompt has no effect that a second time could double.
-    reading = msgspec.structs.replace(
+    roles = {
+        candidate.target: entry.state.targets[candidate.target].role
+        for candidate in candidates
+    }
+    mixed_candidates = [
+        candidate for candidate in candidates if roles[candidate.target] != "prefill"
+    ] or candidates
+    prefill_candidates = [
+        candidate for candidate in candidates if roles[candidate.target] == "prefill"
+    ]
+    decode_candidates = [
+        candidate for candidate in candidates if roles[candidate.target] == "decode"
+    ]
+    if (
+        not prefill_candidates
+        or not decode_candidates
+        or not _is_long_prompt(entry, work, mixed_candidates)
+    ):
+        return entry.choose_target(mixed_candidates, work, entry.rng), work
+    decode_work = msgspec.structs.replace(work, stage="decode")
+    decode_candidate = entry.choose_target(decode_candidates, decode_work, entry.rng)
+    active.decode_target = decode_candidate.target
+    address = entry.configuration.targets[decode_candidate.target].address
+    # Prefill has no side effects, so it may be repeated.
+    prefill_work = msgspec.structs.replace(
         work, stage="prefill", export_to=address, repeatable=True, key=""
     )
-    return entry.choose_target(readers, reading, entry.rng), reading
+    return entry.choose_target(
+        prefill_candidates, prefill_work, entry.rng
+    ), prefill_work
 
 
-def _is_long(entry: Dispatcher, work: Work, views: list[routing.Candidate]) -> bool:
+def _is_long_prompt(
+    entry: Dispatcher, work: Work, candidates: list[routing.Candidate]
+) -> bool:
     if work.kind != "generate" or work.resumed:
         return False
-    reused = any(work.prefix in view.prefixes for view in views if work.prefix)
-    pace = min(view.report.prefill_s for view in views)
-    return not reused and work.prompt_tokens * pace > entry.configuration.policy.split_s
+    is_cached = any(
+        work.prefix in candidate.prefixes for candidate in candidates if work.prefix
+    )
+    token_prefill_s = min(candidate.report.prefill_s for candidate in candidates)
+    return (
+        not is_cached
+        and work.prompt_tokens * token_prefill_s > entry.configuration.policy.split_s
+    )
 
 
-def _list_views(entry: Dispatcher, work: Work, now: float) -> list[routing.Candidate]:
+def _list_candidates(
+    entry: Dispatcher, work: Work, now: float
+) -> list[routing.Candidate]:
     configuration = entry.configuration
-    views = []
+    candidates = []
     for name in list_peers(entry):
         target = entry.state.targets[name]
         if target.pool != work.pool or not target.serving:
@@ -135,45 +166,45 @@
         if work.adapter and work.adapter not in target.adapters:
             continue
         evidence = entry.evidence.get(name)
-        silence_s = configuration.policy.leaving_after_s
-        if evidence and membership.may_get_work(evidence, now, silence_s):
-            views.append(_make_view(entry, configuration, name, evidence))
-    return views
+        timeout_s = configuration.policy.leaving_after_s
+        if evidence and membership.may_get_work(evidence, now, timeout_s):
+            candidates.append(_make_candidate(entry, configuration, name, evidence))
+    return candidates
 
 
-def _make_view(
+def _make_candidate(
     entry: Dispatcher,
     configuration: Configuration,
     name: str,
     evidence: membership.Evidence,
 ) -> routing.Candidate:
     entry.active_by_target.setdefault(name, set())
-    near = configuration.targets[name].zone == entry.zone
+    is_same_zone = configuration.targets[name].zone == entry.zone
     return routing.Candidate(
         target=name,
         report=evidence.report,
         prefixes=evidence.prefixes,
-        pending_prefill_s=_sum_unread(entry, name, evidence.report.prefill_s),
+        pending_prefill_s=_sum_pending_prefill(entry, name, evidence.report.prefill_s),
         in_flight=len(entry.active_by_target[name]),
-        near=near,
-        zone_delay_s=0.0 if near else configuration.policy.zone_delay_s,
+        is_same_zone=is_same_zone,
+        zone_delay_s=0.0 if is_same_zone else configuration.policy.zone_delay_s,
     )
 
 
-def _sum_unread(entry: Dispatcher, target: str, prefill_s: float) -> float:
-    """Add up own long prompts at a target whose first token has not come."""
-    unread = 0.0
+def _sum_pending_prefill(entry: Dispatcher, target: str, prefill_s: float) -> float:
+    """Sum the prefill time of own long prompts at a target without a first token."""
+    pending_s = 0.0
     for request in entry.active_by_target[target]:
         active = entry.active_requests.get(request)
         if active is None or active.buffer.texts:
             continue
         seconds = active.work.prompt_tokens * prefill_s
         if routing.is_long_prefill(seconds):
-            unread += seconds
-    return unread
+            pending_s += seconds
+    return pending_s
 
 
-def _explain_no_place(entry: Dispatcher, active: ActiveRequest) -> Refusal:
+def _make_placement_refusal(entry: Dispatcher, active: ActiveRequest) -> Refusal:
     ran = get_run_status(active)
     if active.refusals:
         retry_s = min(active.refusals.values()) or RETRY_AFTER_S
--- a/src/robinspindle/core/routing.py
+++ b/src/robinspindle/core/routing.py
@@ -1,8 +1,8 @@
-"""Routing: which target to offer a request to.
+"""Routing policies, which choose the target that a request is offered to.
 
-A target's report is late by up to a heartbeat. What this entry itself has under way
-there is known exactly; what other entries sent since is not, and the agent's last word
-covers that.
+A target's report is up to one heartbeat interval old. An entry knows its own requests
+in flight at the target exactly, but not what other entries have sent since the report.
+The agent, which may refuse an offer, makes up for that.
 """
 
 import random
@@ -11,24 +11,31 @@
 
 from robinspindle.messages import Report, Work
 
-LEAST_CHOICES = 2
+MIN_COMPARED_TARGETS = 2
+
 LONG_PREFILL_S = 0.1
-CROWDING = 1.0
-INTERFERENCE = 0.5
+"""Prompts with a longer estimated prefill are prefilled one at a time, seconds."""
+
+OCCUPANCY_PENALTY = 1.0
+"""Added share of a request's service time when all slots of a target are occupied."""
+
+PREFILL_INTERFERENCE = 0.5
+"""Share of the time of a concurrent prefill by which it delays an answer."""
 
 
 @dataclass
 class Candidate:
-    """One candidate as an entry sees it.
+    """A target that may get a request, with the entry's local view of it.
 
     Attributes:
         target: The target's name.
-        report: Its last report.
-        prefixes: Digests of prefixes that it has in its cache.
-        pending_prefill_s: Seconds of own long prompts there that are not read yet.
-        in_flight: All own requests that are under way there.
-        near: Whether it is in the entry's own availability zone.
-        zone_delay_s: One-way delay to it, seconds.
+        report: The target's last report.
+        prefixes: Digests of the prompt prefixes in the target's KV cache.
+        pending_prefill_s: Estimated prefill time of the entry's own long prompts at
+            the target whose prefill has not finished, seconds.
+        in_flight: Number of the entry's own requests in flight at the target.
+        is_same_zone: Whether the target is in the entry's availability zone.
+        zone_delay_s: One-way network delay to the target, seconds.
     """
 
     target: str
@@ -36,22 +43,22 @@
     prefixes: tuple[str, ...] = ()
     pending_prefill_s: float = 0.0
     in_flight: int = 0
-    near: bool = True
+    is_same_zone: bool = True
     zone_delay_s: float = 0.0
 
 
 RoutingPolicy = Callable[[list[Candidate], Work, random.Random], Candidate]
 
 
-def estimate_work(view: Candidate, work: Work) -> float:
+def estimate_service(candidate: Candidate, work: Work) -> float:
     """Estimate the seconds for which a request holds one slot of a target."""
-    report = view.report
+    report = candidate.report
     if work.kind == "call":
         return report.step_s
-    fresh = work.prompt_tokens
-    if work.prefix and work.prefix in view.prefixes:
-        fresh -= work.prefix_tokens
-    prefill = 0.0 if work.stage == "decode" else fresh * report.prefill_s
+    uncached_tokens = work.prompt_tokens
+    if work.prefix and work.prefix in candidate.prefixes:
+        uncached_tokens -= work.prefix_tokens
+    prefill = 0.0 if work.stage == "decode" else uncached_tokens * report.prefill_s
     if work.stage == "prefill":
         return prefill
     steps = max(1, work.max_tokens - len(work.resumed))
@@ -59,96 +66,103 @@
 
 
 def is_long_prefill(prefill_s: float) -> bool:
-    """Whether a prompt takes so long to read that prompts have to take turns."""
+    """Whether a prefill is so long that it must not run beside another long one."""
     return prefill_s > LONG_PREFILL_S
 
 
-def estimate_answer(view: Candidate, work: Work) -> float:
-    """Estimate the seconds until the whole answer, from a late report.
+def estimate_answer(candidate: Candidate, work: Work) -> float:
+    """Estimate the seconds until the answer is complete.
 
-    What this entry has under way at the target is known without delay; only the
-    requests of other entries, and how long a request lasts there, come from the
-    report.
+    The entry's own requests at the target are known exactly. Only the requests of
+    other entries and the service time come from the report, which may be outdated.
     """
-    report = view.report
-    own = estimate_work(view, work)
+    report = candidate.report
+    own_s = estimate_service(candidate, work)
     reported = report.running + report.queued
-    occupancy = max(0, reported - report.own) + view.in_flight
-    usual = report.wait_s * report.slots / reported if report.wait_s else own
-    wait = max(0, occupancy + 1 - report.slots) * usual / report.slots
+    occupancy = max(0, reported - report.own) + candidate.in_flight
+    mean_service_s = report.wait_s * report.slots / reported if report.wait_s else own_s
+    wait = max(0, occupancy + 1 - report.slots) * mean_service_s / report.slots
     others_s = max(0.0, report.prefill_wait_s - report.own_prefill_s)
-    unread_s = others_s + view.pending_prefill_s
+    pending_s = others_s + candidate.pending_prefill_s
     if is_long_prefill(work.prompt_tokens * report.prefill_s):
-        wait = max(wait, unread_s)
+        wait = max(wait, pending_s)
     else:
-        # While an engine reads a long prompt, its answers get fewer steps.
-        wait += INTERFERENCE * min(unread_s, own)
-    # Weighs more than the noise in what targets measure of their own speed.
-    crowding = CROWDING * min(1.0, occupancy / report.slots)
-    return wait + own * (1.0 + crowding) + 2 * view.zone_delay_s
+        # During the prefill of a long prompt, an engine runs fewer decode steps.
+        wait += PREFILL_INTERFERENCE * min(pending_s, own_s)
+    # The penalty outweighs the noise in the speeds that the targets measure.
+    penalty = OCCUPANCY_PENALTY * min(1.0, occupancy / report.slots)
+    return wait + own_s * (1.0 + penalty) + 2 * candidate.zone_delay_s
 
 
 def count_compared_targets(targets: int, entries: int) -> int:
-    """Decide how many targets to compare.
+    """Compute how many targets to compare for one request.
 
-    What other entries sent since the report is unknown, and if all compared all
-    targets, all would run after the one that looked idle. The fewer others there
-    are, the more of the load an entry knows exactly.
+    An entry doesn't know what other entries have sent since the last report. If each
+    entry compared all targets, all of them would send to the one that was reported
+    idle. With fewer entries, each knows more of the load exactly and may compare more.
     """
-    return max(LEAST_CHOICES, round(LEAST_CHOICES * targets / entries))
+    return max(MIN_COMPARED_TARGETS, round(MIN_COMPARED_TARGETS * targets / entries))
 
 
 def make_estimate_policy(entries: int) -> RoutingPolicy:
-    """Make the policy that prefers the sooner answer among a few targets.
+    """Make the policy that chooses the earliest estimated answer in a random sample.
+
+    A target with the request's prefix in its KV cache is added to the sample.
 
     Args:
-        entries: How many entries route to the same targets.
+        entries: Number of entries that route to the same targets.
     """
 
     def choose_by_estimate(
-        views: list[Candidate], work: Work, rng: random.Random
+        candidates: list[Candidate], work: Work, rng: random.Random
     ) -> Candidate:
-        count = count_compared_targets(len(views), entries)
-        sample = rng.sample(views, min(count, len(views)))
-        reusing = [view for view in views if work.prefix in view.prefixes]
-        if work.prefix and reusing:
-            sample.append(rng.choice(reusing))
-        return min(sample, key=lambda view: estimate_answer(view, work))
+        count = count_compared_targets(len(candidates), entries)
+        sample = rng.sample(candidates, min(count, len(candidates)))
+        cached = [
+            candidate for candidate in candidates if work.prefix in candidate.prefixes
+        ]
+        if work.prefix and cached:
+            sample.append(rng.choice(cached))
+        return min(sample, key=lambda candidate: estimate_answer(candidate, work))
 
     return choose_by_estimate
 
 
 def choose_at_random(
-    views: list[Candidate], work: Work, rng: random.Random
+    candidates: list[Candidate], work: Work, rng: random.Random
 ) -> Candidate:
-    """Take any target; a baseline."""
-    return rng.choice(views)
+    """Choose a random target. A baseline for comparisons."""
+    return rng.choice(candidates)
 
 
 def choose_least_in_flight(
-    views: list[Candidate], work: Work, rng: random.Random
+    candidates: list[Candidate], work: Work, rng: random.Random
 ) -> Candidate:
-    """Take the target with the fewest own requests; a baseline."""
-    least = min(view.in_flight for view in views)
-    return rng.choice([view for view in views if view.in_flight == least])
+    """Choose a target with the fewest own requests. A baseline for comparisons."""
+    least = min(candidate.in_flight for candidate in candidates)
+    return rng.choice(
+        [candidate for candidate in candidates if candidate.in_flight == least]
+    )
 
 
 def make_round_robin_policy() -> RoutingPolicy:
-    """Make a policy that takes one target after another; a baseline."""
-    turn = 0
+    """Make a round-robin policy. A baseline for comparisons."""
+    position = 0
 
-    def choose_in_turn(
-        views: list[Candidate], work: Work, rng: random.Random
+    def choose_next(
+        candidates: list[Candidate], work: Work, rng: random.Random
     ) -> Candidate:
-        nonlocal turn
-        turn += 1
-        return sorted(views, key=lambda view: view.target)[turn % len(views)]
+        nonlocal position
+        position += 1
+        return sorted(candidates, key=lambda candidate: candidate.target)[
+            position % len(candidates)
+        ]
 
-    return choose_in_turn
+    return choose_next
 
 
 def make_policy(name: str, entries: int) -> RoutingPolicy:
-    """Make the routing policy that the configuration names."""
+    """Make the routing policy with a name from the configuration."""
     if name == "round-robin":
         return make_round_robin_policy()
     if name == "estimate":
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -1,12 +1,11 @@
-"""An entry that was not run for a while has heard nothing, and judges nothing by it.
-
-A stream ended after 5 of 60 tokens, once, beside busy processes: its entry was held up
-for 2.5 s while the agent stopped. In its first turn after that the entry found less
-than what had come (its socket's thread is run anew, too), looked at the clock, and took
-all its targets for silent: 2.5 s is more than the 1.5 s it allows a run and the 2 s it
-allows for new work. There was nowhere to go on, so the caller got an end ("no target
-takes new work at present") instead of the tokens that lay in the socket. Held up
-together with its agent, an entry did so each time.
+"""A pause of the entry's process must not count towards the timeouts of its targets.
+
+After a pause of 2.5 s, an entry had not yet read all messages that had arrived, because
+the thread that reads its socket had been paused too. It timed out all its targets:
+2.5 s exceeds the timeout of runs (1.5 s) and that for new work (2 s). A stream ended
+after 5 of 60 tokens with "no target takes new work at present", although the other
+tokens were waiting in the socket. This happened each time the entry and its agent were
+paused together.
 """
 
 import random
@@ -31,7 +30,7 @@
 )
 
 SAMPLE = Path(__file__).parents[2] / "examples" / "haddad.ini"
-HELD_UP_S = 2.5
+PAUSE_S = 2.5
 STEP_S = 0.05
 
 
@@ -55,8 +54,8 @@
     return dispatch.submit(entry, now, work, LatencyObjective(5.0, 20.0))
 
 
-def begin(entry):
-    """Bring a stream to its first token; return its target."""
+def start_stream(entry):
+    """Start a stream, deliver its first token and return its target."""
     target = submit(entry, 0.0)[0].peer
     report = Report(target=target, incarnation="i")
     accepted = Accepted(request="r", attempt=1, reserved=False, report=report)
@@ -67,8 +66,8 @@
     return target
 
 
-def let_pass(entry, since, until):
-    """Let time pass in which nothing comes; return the effects but greetings."""
+def advance(entry, since, until):
+    """Let time pass without messages; return all effects except heartbeats."""
     effects = []
     for step in range(1, round((until - since) / STEP_S) + 1):
         effects += dispatch.tick(entry, since + step * STEP_S)
@@ -77,54 +76,54 @@
     ]
 
 
-def test_a_run_is_not_lost_by_an_entry_that_was_held_up(entry):
-    target = begin(entry)
-    let_pass(entry, 0.0, 1.0)
-    after = 1.0 + HELD_UP_S
+def test_a_run_survives_a_pause_of_the_entry(entry):
+    target = start_stream(entry)
+    advance(entry, 0.0, 1.0)
+    after = 1.0 + PAUSE_S
     effects = dispatch.tick(entry, after)
     assert entry.active_requests["r"].target == target
     assert entry.active_requests["r"].attempts == 1
     assert not any(isinstance(effect, Deliver) for effect in effects)
     rest = Tokens(request="r", attempt=1, first=1, texts=("b ",))
-    told = dispatch.receive(entry, after + 0.01, target, rest)
-    told += dispatch.receive(
+    later_effects = dispatch.receive(entry, after + 0.01, target, rest)
+    later_effects += dispatch.receive(
         entry, after + 0.01, target, Finished(request="r", attempt=1, count=2)
     )
-    events = [effect.event for effect in told if isinstance(effect, Deliver)]
+    events = [effect.event for effect in later_effects if isinstance(effect, Deliver)]
     assert [type(event) for event in events] == [Chunk, Ended]
 
 
-def test_a_request_that_came_while_the_entry_was_held_up_is_placed(entry):
-    let_pass(entry, 0.0, 0.5)
-    effects = submit(entry, 0.5 + HELD_UP_S)
+def test_a_request_that_arrived_during_a_pause_is_placed(entry):
+    advance(entry, 0.0, 0.5)
+    effects = submit(entry, 0.5 + PAUSE_S)
     assert isinstance(effects[0].message, Offer)
 
 
-def test_an_offer_is_not_lost_by_an_entry_that_was_held_up(entry):
+def test_an_offer_survives_a_pause_of_the_entry(entry):
     submit(entry, 0.0)
-    let_pass(entry, 0.0, 0.5)
-    dispatch.tick(entry, 0.5 + HELD_UP_S)
+    advance(entry, 0.0, 0.5)
+    dispatch.tick(entry, 0.5 + PAUSE_S)
     assert entry.active_requests["r"].attempts == 1
 
 
-def test_a_target_that_died_meanwhile_is_found_as_soon_as_ever(entry):
-    target = begin(entry)
-    let_pass(entry, 0.0, 0.5)
-    after = 0.5 + HELD_UP_S
+def test_a_target_that_fails_during_a_pause_times_out_without_added_delay(entry):
+    target = start_stream(entry)
+    advance(entry, 0.0, 0.5)
+    after = 0.5 + PAUSE_S
     dispatch.tick(entry, after)
-    left_s = failover.LOST_S - 0.5
-    let_pass(entry, after, after + left_s - STEP_S)
+    left_s = failover.TARGET_TIMEOUT_S - 0.5
+    advance(entry, after, after + left_s - STEP_S)
     assert entry.active_requests["r"].target == target
     for name in ("engine-1", "engine-2"):
         if name != target:
             report = Report(target=name, incarnation="i")
             dispatch.receive(entry, after + left_s, name, report)
-    let_pass(entry, after + left_s, after + left_s + 3 * STEP_S)
+    advance(entry, after + left_s, after + left_s + 3 * STEP_S)
     assert entry.active_requests["r"].target != target
 
 
-def test_hold_ups_do_not_put_a_deadline_off(entry):
-    begin(entry)
-    let_pass(entry, 0.0, 0.5)
-    effects = dispatch.tick(entry, 0.5 + failover.HARD_LIMIT_S)
+def test_a_pause_does_not_extend_a_deadline(entry):
+    start_stream(entry)
+    advance(entry, 0.0, 0.5)
+    effects = dispatch.tick(entry, 0.5 + failover.MAX_REQUEST_S)
     assert any(isinstance(e, Deliver) and isinstance(e.event, Refusal) for e in effects)
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -17,21 +17,21 @@
     return Dispatcher("entry-1", "a", random.Random(1), state=state)
 
 
-def make_flight(target):
+def make_active_request(target):
     work = Work(request="r", kind="generate", pool="p")
     return ActiveRequest(
         work, deadline=1.0, first_token_deadline=1.0, arrived_at=0.0, target=target
     )
 
 
-def test_a_target_where_a_request_is_under_way_keeps_its_connection():
-    """A target that was added took the place of one among the entry's peers, whose
-    connection was closed in the midst of its answers."""
+def test_a_target_with_an_active_request_keeps_its_connection():
+    """When a target was added, it replaced another one among the entry's peers, and the
+    connection to that one was closed during its answers."""
     entry = make_entry(2)
     assert set(find_addresses(entry)) == set(list_peers(entry))
     left_out = sorted(set(entry.state.targets) - set(list_peers(entry)))
     assert left_out
-    entry.active_requests["r"] = make_flight(left_out[0])
+    entry.active_requests["r"] = make_active_request(left_out[0])
     assert set(find_addresses(entry)) == {*list_peers(entry), left_out[0]}
-    entry.active_requests["r"] = make_flight("")
+    entry.active_requests["r"] = make_active_request("")
     assert set(find_addresses(entry)) == set(list_peers(entry))
