--- a/src/robinspindle/core/engines.py
+++ b/src/robinspindle/core/engines.py
@@ -269,10 +269,10 @@
     low, high = SLOWNESS_BOUNDS
     ratio = min(high, max(low, measured.seconds / model_s))
     # The slowness of this one engine is removed from the sample for the shared model.
-    common = PrefillSample(
+    normalized = PrefillSample(
         measured.new, measured.context, measured.seconds / engine.slowness
     )
-    prefillmodel.note_sample(engine.prefill_model, common)
+    prefillmodel.note_sample(engine.prefill_model, normalized)
     engine.slowness += SLOWNESS_SMOOTHING * (ratio - engine.slowness)
 
 
@@ -367,25 +367,25 @@
         level: Priority level of the prompt.
         now: The current time, monotonic seconds.
     """
-    work_s = sum_backlog_s(engine, level)
-    others_s = max(0.0, sum_backlog_s(engine, LATE_LEVEL) - work_s)
+    level_backlog_s = sum_backlog_s(engine, level)
+    lower_backlog_s = max(0.0, sum_backlog_s(engine, LATE_LEVEL) - level_backlog_s)
     higher_priority_s = total_s = squares = 0.0
     # One pass computes all sums: this runs for each engine and request.
-    for begun in engine.recent_prefills:
-        total_s += begun.seconds
-        squares += begun.seconds**2
-        if begun.level < level and begun.at > now - RECENT_WINDOW_S:
-            higher_priority_s += begun.seconds
+    for start in engine.recent_prefills:
+        total_s += start.seconds
+        squares += start.seconds**2
+        if start.level < level and start.at > now - RECENT_WINDOW_S:
+            higher_priority_s += start.seconds
     # The mean residual time of the running prefill is half of the mean duration with
     # each duration weighted by itself: a longer prefill is more likely the running one.
     residual_s = squares / total_s / 2 if total_s > 0 else 0.0
-    ahead_s = work_s + min(others_s, residual_s)
+    ahead_s = level_backlog_s + min(lower_backlog_s, residual_s)
     return ahead_s / max(MIN_IDLE_SHARE, 1.0 - higher_priority_s / RECENT_WINDOW_S)
 
 
 def count_recent_prefills(engine: Engine, now: float) -> int:
     """Count the prefills that began at an engine within `RECENT_WINDOW_S`."""
-    return sum(begun.at >= now - RECENT_WINDOW_S for begun in engine.recent_prefills)
+    return sum(start.at >= now - RECENT_WINDOW_S for start in engine.recent_prefills)
 
 
 def note_prefill_start(engine: Engine, now: float, seconds: float, level: int) -> None:
@@ -401,5 +401,5 @@
 def sum_recent_prefill_s(engine: Engine, now: float, window_s: float) -> float:
     """Sum the durations of prefills that an engine began within a window, seconds."""
     return sum(
-        begun.seconds for begun in engine.recent_prefills if begun.at >= now - window_s
+        start.seconds for start in engine.recent_prefills if start.at >= now - window_s
     )
--- a/tests/core/test_engines.py
+++ b/tests/core/test_engines.py
@@ -134,8 +134,8 @@
 def test_slowness_is_detected_under_constant_load_and_ends_again():
     """Guards against an engine that is slow and always busy counting as a normal one.
 
-    With samples of prefills that didn't wait alone, the slowness of an engine three
-    times as slow was estimated as 1.0; with samples of queued ones it was 2.3.
+    If only prefills that didn't wait gave samples, the estimated slowness of an engine
+    three times as slow stayed at 1.0; with samples of queued prefills it became 2.3.
     """
     engine = make_engine(True, 100_000)
     for _ in range(60):
