--- a/fuzz/dutyworld.py
+++ b/fuzz/dutyworld.py
@@ -147,7 +147,7 @@
         await self._gateway.wait_while_frozen()
         return Read(tuple(newest.values()), end, end)
 
-    async def read_on(self, topic: str, offset: int, wait_s: float) -> Read:
+    async def read_from(self, topic: str, offset: int, wait_s: float) -> Read:
         """Read from an offset on."""
         await self._travel()
         records = self._world.records
--- a/fuzz/keyworld.py
+++ b/fuzz/keyworld.py
@@ -140,7 +140,7 @@
         await self._come_back()
         return Records(newest, end, end)
 
-    async def read_on(self, topic: str, offset: int, wait_s: float) -> Records:
+    async def read_from(self, topic: str, offset: int, wait_s: float) -> Records:
         """Read on, waiting for the first record."""
         await self._travel()
         until = self.world.now + wait_s
--- a/src/robinspindle/cachelists.py
+++ b/src/robinspindle/cachelists.py
@@ -36,10 +36,10 @@
 class ListDialect(Protocol):
     """How lists of what a cache holds are asked for."""
 
-    def encode_list_call(self, address: str) -> bytes:
+    def encode_cache_list_call(self, address: str) -> bytes:
         """Write a call for the list."""
 
-    def decode_list(self, body: bytes) -> list[Part]:
+    def decode_cache_list(self, body: bytes) -> list[Part]:
         """Read the list."""
 
 
@@ -90,8 +90,8 @@
 
     async def _fetch(self, target: Target) -> list[Part]:
         pool = self._fleet.find_pool(target)
-        data = self._dialect.encode_list_call(target.announced.address)
+        data = self._dialect.encode_cache_list_call(target.announced.address)
         head, body = await call_once(pool, self._clock, data, ASK_LIMITS)
         if head.status != LIST_READ:
             raise BadDocumentError(f"status {head.status}")
-        return self._dialect.decode_list(body)
+        return self._dialect.decode_cache_list(body)
--- a/src/robinspindle/dutylog.py
+++ b/src/robinspindle/dutylog.py
@@ -82,7 +82,7 @@
             if end is None:
                 records = await self._store.read_newest(self._topic)
             else:
-                records = await self._store.read_on(self._topic, end, 0.0)
+                records = await self._store.read_from(self._topic, end, 0.0)
         except RecordsTrimmedError:
             records = await self._store.read_newest(self._topic)
         for item in records.items:
--- a/src/robinspindle/following.py
+++ b/src/robinspindle/following.py
@@ -91,7 +91,7 @@
     async def read_newest(self, topic: str) -> Records:
         """Read the newest record of each key."""
 
-    async def read_on(self, topic: str, offset: int, wait_s: float) -> Records:
+    async def read_from(self, topic: str, offset: int, wait_s: float) -> Records:
         """Read what comes from an offset on."""
 
     def drop_connections(self) -> None:
@@ -277,8 +277,8 @@
     """Read on from an offset; None for a held poll that seems to wait in vain."""
     follower.nudge.clear()
     if wait_s == 0.0:
-        return await store.read_on(follower.topic, offset, wait_s)
-    call = asyncio.ensure_future(store.read_on(follower.topic, offset, wait_s))
+        return await store.read_from(follower.topic, offset, wait_s)
+    call = asyncio.ensure_future(store.read_from(follower.topic, offset, wait_s))
     nudge = asyncio.ensure_future(follower.nudge.wait())
     try:
         await asyncio.wait({call, nudge}, return_when=asyncio.FIRST_COMPLETED)
--- a/src/robinspindle/passages.py
+++ b/src/robinspindle/passages.py
@@ -32,7 +32,7 @@
     ) -> Request:
         """Decode the head of a caller's request."""
 
-    def name_workspace(self, request: Request, name: str | None) -> Request:
+    def set_workspace(self, request: Request, name: str | None) -> Request:
         """Put the workspace of a request in the place of its key."""
 
     def add_body(self, request: Request, body: bytes) -> Request:
@@ -49,7 +49,7 @@
     ) -> AnswerHead:
         """Decode the head of a target's answer."""
 
-    def decode_read(self, address: str, body: bytes) -> CacheSource:
+    def decode_prefill_answer(self, address: str, body: bytes) -> CacheSource:
         """Decode the answer to a prompt that was only read."""
 
 
--- a/src/robinspindle/platform/dialect.py
+++ b/src/robinspindle/platform/dialect.py
@@ -82,7 +82,7 @@
     )
 
 
-def name_workspace(request: Request, name: str | None) -> Request:
+def set_workspace(request: Request, name: str | None) -> Request:
     """Put the workspace of a request in the place of its key, for all that follows.
 
     Args:
@@ -148,7 +148,7 @@
     handle: str = msgspec.field(name="KvHandle")
 
 
-def decode_read(address: str, body: bytes) -> CacheSource:
+def decode_prefill_answer(address: str, body: bytes) -> CacheSource:
     """Decode the answer to a prompt that was only read.
 
     Raises:
@@ -167,7 +167,7 @@
     ).encode()
 
 
-def encode_list_call(address: str) -> bytes:
+def encode_cache_list_call(address: str) -> bytes:
     """Write a call for what an engine's cache holds."""
     return f"GET /kv-list HTTP/1.1\r\nHost: {address}\r\n\r\n".encode()
 
@@ -177,7 +177,7 @@
     held: list[tuple[str, str, int, str]]
 
 
-def decode_list(body: bytes) -> list[Part]:
+def decode_cache_list(body: bytes) -> list[Part]:
     """Decode what an engine's cache holds.
 
     Raises:
--- a/src/robinspindle/platform/store.py
+++ b/src/robinspindle/platform/store.py
@@ -132,7 +132,7 @@
                 return Records(tuple(items), end, end)
             after = page.items[-1].key
 
-    async def read_on(self, topic: str, offset: int, wait_s: float) -> Records:
+    async def read_from(self, topic: str, offset: int, wait_s: float) -> Records:
         """Read the records of a keyed topic from an offset, waiting for the first.
 
         Raises:
--- a/src/robinspindle/readingapart.py
+++ b/src/robinspindle/readingapart.py
@@ -63,7 +63,9 @@
             passage.read_at = self._means.clock()
             work.end(passage.read_at)
             health.note_answered(reader)
-            return self._means.dialect.decode_read(reader.announced.address, body)
+            return self._means.dialect.decode_prefill_answer(
+                reader.announced.address, body
+            )
         except ConnectionBrokenError as error:
             note_broken(reader, error, self._means.clock())
             self._log.log_broken(passage, reader, str(error))
--- a/src/robinspindle/relay.py
+++ b/src/robinspindle/relay.py
@@ -141,7 +141,7 @@
         if table.keys is not None:
             # From here on nothing holds the key: neither a sending nor news of it.
             name = permit.workspace.name if permit.workspace else None
-            request = means.dialect.name_workspace(request, name)
+            request = means.dialect.set_workspace(request, name)
         return self._begin_passage(request, reply, table, route, permit)
 
     def _begin_passage(
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -78,11 +78,11 @@
     )
     assert "Kv-Fetch: 1.2.3.4:6\r\n" in encode(holder="1.2.3.4:6")
     assert "Kv-Fetch" not in encode()
-    assert dialect.decode_read("1.2.3.4:5", b'{"KvHandle":"h1"}') == CacheSource(
-        "1.2.3.4:5", "h1"
-    )
+    assert dialect.decode_prefill_answer(
+        "1.2.3.4:5", b'{"KvHandle":"h1"}'
+    ) == CacheSource("1.2.3.4:5", "h1")
     with pytest.raises(BadDocumentError):
-        dialect.decode_read("1.2.3.4:5", b"{}")
+        dialect.decode_prefill_answer("1.2.3.4:5", b"{}")
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -35,9 +35,9 @@
         assert [(i.key, i.value) for i in newest.items] == [("a", b"1")]
         await standin.put(TOPIC, "b", b"2")
         await standin.put(TOPIC, "a", None)
-        more = await store.read_on(TOPIC, newest.end, 0.0)
+        more = await store.read_from(TOPIC, newest.end, 0.0)
         assert [(i.key, i.value) for i in more.items] == [("b", b"2"), ("a", None)]
-        assert (await store.read_on(TOPIC, more.end, 0.0)).items == ()
+        assert (await store.read_from(TOPIC, more.end, 0.0)).items == ()
 
     play(scenario)
 
@@ -46,7 +46,7 @@
     async def scenario(store, standin):
         for _ in range(4):
             await standin.put(TOPIC, "a", bytes(400 << 10))
-        records = await store.read_on(TOPIC, 0, 0.0)
+        records = await store.read_from(TOPIC, 0, 0.0)
         assert (len(records.items), records.end, records.topic_end) == (2, 2, 4)
 
     play(scenario)
@@ -57,7 +57,7 @@
         await standin.put(TOPIC, "a", b"1")
         standin.compact(TOPIC)
         with pytest.raises(RecordsTrimmedError) as caught:
-            await store.read_on(TOPIC, 0, 0.0)
+            await store.read_from(TOPIC, 0, 0.0)
         assert caught.value.first == 1
 
     play(scenario)
@@ -80,12 +80,12 @@
         await standin.put(TOPIC, "a", bytes(1000))
         standin.trouble = "stalls"
         with pytest.raises(LogUnavailableError) as caught:
-            await store.read_on(TOPIC, 0, 0.0)
+            await store.read_from(TOPIC, 0, 0.0)
         assert 0 < caught.value.received < 1000
         assert store.wasted_bytes == caught.value.received
         assert store.received_bytes == 0
         standin.trouble = ""
-        await store.read_on(TOPIC, 0, 0.0)
+        await store.read_from(TOPIC, 0, 0.0)
         assert store.received_bytes > 1000
 
     play(scenario)
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -41,7 +41,7 @@
     async def read_newest(self, topic):
         return Found((), 0)
 
-    async def read_on(self, topic, offset, wait_s):
+    async def read_from(self, topic, offset, wait_s):
         self.calls += 1
         return Found((), 0)
 
@@ -76,7 +76,7 @@
         self.waits = []
         self._failures = failures
 
-    async def read_on(self, topic, offset, wait_s):
+    async def read_from(self, topic, offset, wait_s):
         self.waits.append(wait_s)
         if 1 < len(self.waits) <= 1 + self._failures:
             raise LogUnavailableError("silent")
@@ -126,7 +126,7 @@
         self.reads.append("newest")
         return next(self._newest)
 
-    async def read_on(self, topic, offset, wait_s):
+    async def read_from(self, topic, offset, wait_s):
         if offset == self._end:
             await asyncio.Event().wait()
         self.reads.append(offset)
@@ -177,7 +177,7 @@
         self.waits = []
         self._found = found
 
-    async def read_on(self, topic, offset, wait_s):
+    async def read_from(self, topic, offset, wait_s):
         self.waits.append(wait_s)
         if wait_s:
             await asyncio.Event().wait()
@@ -241,7 +241,7 @@
             raise LogUnavailableError("refused")
         return Found((), 0)
 
-    async def read_on(self, topic, offset, wait_s):
+    async def read_from(self, topic, offset, wait_s):
         await asyncio.Event().wait()
 
 
