--- a/src/robinspindle/platform/__init__.py
+++ b/src/robinspindle/platform/__init__.py
@@ -1,6 +1,8 @@
-"""Translates between robinspindle and its users' platform; decides nothing.
+"""Translates between the platform that hosts gateways and robinspindle's own types.
 
-``settings`` reads the settings file, ``dialect`` requests and answers, ``documents``
-the operator's configuration and the targets' entries, ``store`` the log service, and
-``engines`` the calls to model engines. All names of the platform end here.
+It makes no decisions. ``settings`` reads the settings file, ``dialect`` the HTTP heads
+of requests and responses, and ``documents`` the operator's configuration and the
+entries of targets. ``store`` is the client of the log service, ``orders`` encodes
+orders to model engines, and ``duties`` calls to the platform's API. No other code uses
+the platform's names.
 """
--- a/src/robinspindle/platform/adapter.py
+++ b/src/robinspindle/platform/adapter.py
@@ -1,4 +1,4 @@
-"""Bundles the adapter for the gateway."""
+"""The platform's adapter: what a gateway uses of this package."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,7 +13,19 @@
 
 @dataclass(frozen=True)
 class PlatformAdapter:
-    """What the platform's adapter gives a gateway."""
+    """The topics, encodings and store client that a gateway uses on this platform.
+
+    Attributes:
+        configuration_topic: Topic of the store for the operator's configuration.
+        configuration_key: Key of the configuration in that topic.
+        targets_topic: Topic of the entries in which targets announce themselves.
+        gateways_topic: Topic of the gateways' introductions and of the quarantine.
+        orders_topic: Topic of lease claims for orders to engines.
+        reports_topic: Topic of usage reports and of lease claims for singleton duties.
+        dialect: Encodes and decodes requests and responses.
+        orders: Encodes orders to engines and decodes their responses.
+        duties: Encodes calls to the platform's API and decodes its responses.
+    """
 
     configuration_topic: str = store.CONFIGURATION_TOPIC
     configuration_key: str = store.CONFIGURATION_KEY
@@ -28,13 +40,30 @@
     def make_store(
         self, settings: GatewaySettings, clock: Callable[[], float]
     ) -> Store:
-        """Make the client of the store."""
+        """Make a client of the store.
+
+        Args:
+            settings: The gateway's settings, which hold the store's address.
+            clock: Returns the current time, monotonic seconds.
+        """
         return Store(settings.store, clock)
 
     def decode_configuration(self, data: bytes) -> RouteTable:
-        """Decode the operator's configuration."""
+        """Decode the operator's configuration.
+
+        Raises:
+            BadDocumentError: If it is invalid.
+        """
         return documents.decode_configuration(data)
 
     def decode_announcement(self, id: str, data: bytes) -> Announcement:
-        """Decode a target's entry."""
+        """Decode a target's entry.
+
+        Args:
+            id: The target's id, which is the entry's key.
+            data: The entry.
+
+        Raises:
+            BadDocumentError: If it describes no usable target.
+        """
         return documents.decode_announcement(id, data)
--- a/src/robinspindle/platform/dialect.py
+++ b/src/robinspindle/platform/dialect.py
@@ -1,4 +1,4 @@
-"""Translates requests and answers between HTTP heads and the product's types."""
+"""Translates between HTTP heads on the wire and robinspindle's own types."""
 
 from dataclasses import replace
 
@@ -16,7 +16,7 @@
 from robinspindle.core.lifetimes import find_id
 from robinspindle.exceptions import BadDocumentError
 
-ONE_CONNECTION = frozenset(
+HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -31,9 +31,10 @@
         b"expect",
     )
 )
-"""Headers of one connection; length and expectation are written anew where needed."""
+"""Hop-by-hop headers, which are not forwarded. ``Content-Length`` and ``Expect`` are
+among them, because they are written again where needed."""
 
-OURS = frozenset(
+SYSTEM_HEADERS = frozenset(
     (
         b"kv-fetch",
         b"x-deadline-ms",
@@ -47,50 +48,70 @@
         b"x-stage",
     )
 )
-"""Headers that only the system sets; a caller's own values are dropped."""
+"""Headers that only robinspindle sets; values from a caller are dropped."""
 
-KEY = b"authorization"
-WORKSPACE = b"x-tenant"
+KEY_HEADER = b"authorization"
+"""Header with the bearer key that identifies a caller's workspace."""
+
+WORKSPACE_HEADER = b"x-tenant"
+"""Header that names the workspace to targets."""
+
+RESUME_HEADER = b"last-event-id"
+"""Header with the id of the last event that the caller of a stream has received."""
 
-RESUME = b"last-event-id"
 MISDIRECTED = 421
+"""Status of a target that is not the expected one, so it did not run the request."""
 
 
 def decode_request(method: str, target: bytes, headers: Headers, now: float) -> Request:
-    """Decode the head of a caller's request; the body is added later."""
+    """Decode the head of a caller's request; `add_body` adds the body later.
+
+    Args:
+        method: HTTP method.
+        target: Path and query.
+        headers: Headers as sent.
+        now: When the head was received, monotonic seconds.
+    """
     values = {name.lower(): value for name, value in headers}
-    named = _list_named(values.get(b"connection", b""))
-    kept = tuple(
+    hop_options = _list_hop_options(values.get(b"connection", b""))
+    forwarded = tuple(
         (name, value)
         for name, value in headers
-        if (lower := name.lower()) not in ONE_CONNECTION
-        and lower not in OURS
-        and lower not in named
+        if (lower := name.lower()) not in HOP_HEADERS
+        and lower not in SYSTEM_HEADERS
+        and lower not in hop_options
     )
     return Request(
         id=values.get(b"x-request-id", b"").decode("latin-1"),
         method=method,
         target=target,
         host=values.get(b"host", b"").decode("latin-1"),
-        headers=kept,
+        headers=forwarded,
         body=b"",
-        wait_s=_read_ms(values.get(b"x-deadline-ms")),
+        wait_s=_parse_ms(values.get(b"x-deadline-ms")),
         received_at=now,
-        prompt=_read_prompt(values),
-        caller=values.get(KEY, b""),
-        key=_read_key(headers),
+        prompt=_parse_prompt(values),
+        caller=values.get(KEY_HEADER, b""),
+        key=_parse_bearer_key(headers),
     )
 
 
 def set_workspace(request: Request, name: str | None) -> Request:
-    """Put the workspace of a request in the place of its key, for all that follows.
+    """Replace the key of a request by the workspace that the key belongs to.
+
+    The caller's own value of the workspace header is dropped.
 
     Args:
         request: The request as its caller sent it.
-        name: Its workspace; None for none. What the caller says of it is dropped.
+        name: Its workspace; None if it has none.
+
+    Returns:
+        The request, whose headers contain no key.
     """
     headers = tuple(
-        pair for pair in request.headers if pair[0].lower() not in (KEY, WORKSPACE)
+        pair
+        for pair in request.headers
+        if pair[0].lower() not in (KEY_HEADER, WORKSPACE_HEADER)
     )
     if name is not None:
         headers += ((b"X-Tenant", name.encode()),)
@@ -98,10 +119,10 @@
 
 
 def encode_request(request: Request, send: Send) -> bytes:
-    """Write the head and body of a request for one target."""
+    """Encode the head and body of a request to one target."""
     headers = request.headers
     if send.resume_after is not None:
-        headers = tuple(pair for pair in headers if pair[0].lower() != RESUME)
+        headers = tuple(pair for pair in headers if pair[0].lower() != RESUME_HEADER)
     lines = [request.method.encode() + b" " + request.target + b" HTTP/1.1"]
     lines += [name + b": " + value for name, value in headers]
     lines.append(b"X-Deadline-Ms: %d" % max(1, int(send.left_s * 1000)))
@@ -122,69 +143,78 @@
 
 
 def decode_answer(status: int, reason: bytes, headers: Headers) -> AnswerHead:
-    """Decode the head of a target's answer."""
+    """Decode the head of a target's response."""
     values = {name.lower(): value for name, value in headers}
-    named = _list_named(values.get(b"connection", b""))
-    kept = tuple(
+    hop_options = _list_hop_options(values.get(b"connection", b""))
+    forwarded = tuple(
         (name, value)
         for name, value in headers
-        if (lower := name.lower()) not in ONE_CONNECTION and lower not in named
+        if (lower := name.lower()) not in HOP_HEADERS and lower not in hop_options
     )
     return AnswerHead(
         status=status,
         reason=reason,
-        headers=kept,
+        headers=forwarded,
         request_id=values.get(b"x-request-id", b"").decode("latin-1"),
-        # Not the status: a 503 without this header may come from a request that ran.
+        # The status is not enough: a 503 without this header may be from a request
+        # that ran.
         not_run=b"x-not-executed" in values or status == MISDIRECTED,
         answered_by=values.get(b"x-instance-id", b"").decode("latin-1"),
-        # A target signs its answers; the signature travels on untouched.
+        # Targets sign their responses, and the signature is forwarded unchanged. A body
+        # with a content encoding is not as the target signed it.
         sealed=b"x-response-seal" in values and b"content-encoding" not in values,
-        idle_s=_read_idle(values.get(b"keep-alive")),
+        idle_s=_parse_idle_s(values.get(b"keep-alive")),
     )
 
 
-class _Read(msgspec.Struct):
+class _PrefillBody(msgspec.Struct):
     handle: str = msgspec.field(name="KvHandle")
 
 
 def decode_prefill_answer(address: str, body: bytes) -> CacheSource:
-    """Decode the answer to a prompt that was only read.
+    """Decode the body of the response to a prefill-only request.
+
+    Args:
+        address: Address of the prefill engine.
+        body: The body of its response.
+
+    Returns:
+        Where the KV cache of the prompt can be fetched from.
 
     Raises:
-        BadDocumentError: When it names no handle.
+        BadDocumentError: If it contains no handle.
     """
     try:
-        return CacheSource(address, msgspec.json.decode(body, type=_Read).handle)
+        return CacheSource(address, msgspec.json.decode(body, type=_PrefillBody).handle)
     except msgspec.MsgspecError as error:
         raise BadDocumentError(str(error)) from None
 
 
 def encode_release(source: CacheSource) -> bytes:
-    """Write a request that frees a prompt which was read and is not needed."""
+    """Encode a request that frees the KV cache of a prompt that is not needed."""
     return (
         f"DELETE /kv-handle/{source.handle} HTTP/1.1\r\nHost: {source.address}\r\n\r\n"
     ).encode()
 
 
 def encode_cache_list_call(address: str) -> bytes:
-    """Write a call for what an engine's cache holds."""
+    """Encode a request for the list of prompt parts in an engine's cache."""
     return f"GET /kv-list HTTP/1.1\r\nHost: {address}\r\n\r\n".encode()
 
 
-class _List(msgspec.Struct):
-    # Rows of a text that is empty, a part's id, its tokens, and the model.
+class _CacheList(msgspec.Struct):
+    # Rows of an empty string, the id of a part, its number of tokens, and the model.
     held: list[tuple[str, str, int, str]]
 
 
 def decode_cache_list(body: bytes) -> list[Part]:
-    """Decode what an engine's cache holds.
+    """Decode the list of prompt parts in an engine's cache.
 
     Raises:
-        BadDocumentError: When it can't be read.
+        BadDocumentError: If it is invalid.
     """
     try:
-        rows = msgspec.json.decode(body, type=_List).held
+        rows = msgspec.json.decode(body, type=_CacheList).held
     except msgspec.MsgspecError as error:
         raise BadDocumentError(str(error)) from None
     return [Part(id, tokens) for _, id, tokens, _ in rows]
@@ -195,34 +225,37 @@
     return replace(request, body=body)
 
 
-def _list_named(connection: bytes) -> frozenset[bytes]:
-    return frozenset(word.strip().lower() for word in connection.split(b","))
+def _list_hop_options(connection: bytes) -> frozenset[bytes]:
+    return frozenset(option.strip().lower() for option in connection.split(b","))
+
 
+def _parse_bearer_key(headers: Headers) -> bytes | None:
+    """Return the only bearer key of a request.
 
-def _read_key(headers: Headers) -> bytes | None:
-    """Read the one bearer key of a request; None for none, several or another kind."""
-    found = [value for name, value in headers if name.lower() == KEY]
-    scheme, _, key = found[0].strip().partition(b" ") if len(found) == 1 else (b"",) * 3
+    The result is None if there is no key, or several, or one of another scheme.
+    """
+    keys = [value for name, value in headers if name.lower() == KEY_HEADER]
+    scheme, _, key = keys[0].strip().partition(b" ") if len(keys) == 1 else (b"",) * 3
     key = key.strip()
     return key if scheme.lower() == b"bearer" and key else None
 
 
-def _read_ms(value: bytes | None) -> float | None:
+def _parse_ms(value: bytes | None) -> float | None:
     try:
         return None if value is None else max(0.0, float(value) / 1000)
     except ValueError:
         return None
 
 
-def _read_idle(value: bytes | None) -> float | None:
-    for word in (value or b"").split(b","):
-        name, _, number = word.strip().partition(b"=")
+def _parse_idle_s(value: bytes | None) -> float | None:
+    for parameter in (value or b"").split(b","):
+        name, _, number = parameter.strip().partition(b"=")
         if name.lower() == b"timeout" and number.strip().isdigit():
             return float(number)
     return None
 
 
-def _read_prompt(values: dict[bytes, bytes]) -> Prompt | None:
+def _parse_prompt(values: dict[bytes, bytes]) -> Prompt | None:
     model = values.get(b"x-model")
     counts = values.get(b"x-token-count", b"").split(b",")
     if model is None or len(counts) != 2:
@@ -230,14 +263,14 @@
     try:
         tokens, max_answer_tokens = (int(count) for count in counts)
         expected = int(float(values.get(b"x-length-hint", b"0")))
-        parts = tuple(_read_parts(values.get(b"x-prompt-prefix", b"")))
+        parts = tuple(_parse_parts(values.get(b"x-prompt-prefix", b"")))
     except ValueError:
         return None
     return Prompt(model.decode("latin-1"), parts, tokens, max_answer_tokens, expected)
 
 
-def _read_parts(value: bytes):
-    for word in value.decode("latin-1").split(","):
-        if word.strip():
-            id, _, tokens = word.strip().partition(":")
+def _parse_parts(value: bytes):
+    for part in value.decode("latin-1").split(","):
+        if part.strip():
+            id, _, tokens = part.strip().partition(":")
             yield Part(id, int(tokens))
--- a/src/robinspindle/platform/documents.py
+++ b/src/robinspindle/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decodes what operators and targets write to the platform's store."""
+"""Decodes the documents that operators and targets write to the platform's store."""
 
 import ipaddress
 from functools import lru_cache
@@ -30,21 +30,21 @@
 )
 from robinspindle.exceptions import BadDocumentError
 
-MOST_PORT = 65535
-BITS_A_BYTE = 8
-BITS_A_MEGABIT = 1e6
+MAX_PORT = 65535
+BITS_PER_BYTE = 8
+BITS_PER_MEGABIT = 1e6
 
-ROUTES_KEPT = 8192
-"""Routes that are kept decoded, the ones read last: half as many again as the largest
-configuration played. Nothing is served while a configuration is decoded."""
+MAX_CACHED_ROUTES = 8192
+"""Most recently used routes that stay decoded: 1.5 times the routes of the largest
+tested configuration. Decoding blocks the event loop, so nothing is served meanwhile."""
 
-MOST_FINDINGS = 10
-"""Findings of one document that are told together."""
+MAX_FINDINGS = 10
+"""Maximum number of findings of one document in an error message."""
 
-MOST_NAME = 256
-"""Longest name of a workspace, characters: targets are told it in a header."""
+MAX_NAME_LENGTH = 256
+"""Longest name of a workspace, characters: requests carry it in a header."""
 
-KINDS = {
+KINDS_BY_NAME = {
     "idempotent": IDEMPOTENT,
     "non_idempotent": AT_MOST_ONCE,
     "stream": STREAM,
@@ -62,15 +62,15 @@
     path_prefix: str
     kind: str
     timeout_ms: float
-    # The aim for the whole answer or the first event, not a limit.
+    # Latency objective for the whole answer, or its first event; it is not a limit.
     target_latency_ms: float = 1000.0
     max_attempts: int = 1
     priority: int = 5
-    # A route has either one service or several by weight.
+    # A route has either one service or several weighted backends.
     service: str | None = None
     backends: list[_Backend] = []
     resumable: bool = False
-    # The longest pause between two events that keeps an answer in time.
+    # Objective for the longest pause between two events of an answer.
     target_gap_ms: float = 1000.0
     public: bool = False
 
@@ -80,9 +80,9 @@
     kv_capacity_tokens: int
     kv_hold_s: float = msgspec.field(default=5.0, name="KvHoldS")
     role_switch_s: float = msgspec.field(default=3.0, name="RoleSwitchS")
-    # Tokens in one event of a stream, not a distance in memory.
+    # Tokens per event of a stream; it is no stride in memory.
     stride: int = 1
-    # Memory of one token, bytes; links are in megabits a second.
+    # KV cache of one token, bytes, and bandwidth of the link, megabits per second.
     kv_token_bytes: float = 0.0
     link_mbps: float = 0.0
 
@@ -109,45 +109,48 @@
 
 
 class _Tenant(msgspec.Struct, rename="pascal"):
-    name: Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_NAME)]
+    name: Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
     api_keys: list[str] = []
     priority: int = 0
 
 
 class _Configuration(msgspec.Struct, rename="pascal"):
     version: int
-    # Each is decoded by itself, as most are the same from version to version.
+    # Each route is decoded and cached separately, because most routes stay the same
+    # from one version to the next.
     routes: list[msgspec.Raw]
     services: list[_Service]
     limits: _Limits = msgspec.field(default_factory=_Limits)
-    # Requests need keys where there are any workspaces, or may be some later.
+    # Requests need keys if this list is given, even if it is empty, because workspaces
+    # may be added later.
     tenants: list[_Tenant] | None = None
 
 
 DRAINING = "draining"
-"""State of a target that leaves soon; it still serves what it has."""
+"""State of a target that will leave soon; it still runs the requests that it has."""
 
-MOST_ENTRY_BYTES = 16384
-"""Longest entry of a target, bytes; those of today hold about 300."""
+MAX_ENTRY_BYTES = 16384
+"""Longest entry of a target, bytes; a usual entry has about 300."""
 
-MOST_COLD_MS = 3.6e6
-"""Longest time for which a target may be slow from its start, milliseconds: an hour."""
+MAX_COLD_MS = 3.6e6
+"""Longest time that a target may be slow after its start, milliseconds: an hour."""
 
 
 class _Entry(msgspec.Struct, rename="pascal"):
     service: Annotated[str, msgspec.Meta(min_length=1)]
     address: str
     zone: str
-    # Of its software; not used.
+    # Version of the target's software; not used.
     version: str
     slots: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)]
     state: Literal["ready", "draining"]
-    cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0.0, le=MOST_COLD_MS)]
-    # Of the entry; not used.
+    cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0.0, le=MAX_COLD_MS)]
+    # Sequence number of the entry; not used.
     sequence: int
-    # Only engines have one.
+    # The role of an engine; other targets have none.
     stage: Literal["", "prefill", "decode"] = ""
-    # Entries of platforms whose targets never start again under an id have none.
+    # Start of the lifetime. It is missing on platforms where no target starts again
+    # under the same id.
     born_ms: Annotated[int, msgspec.Meta(ge=0)] | msgspec.UnsetType = msgspec.field(
         default=msgspec.UNSET, name="born"
     )
@@ -157,12 +160,12 @@
     """Decode the operator's configuration.
 
     Raises:
-        BadDocumentError: When it can't be read.
+        BadDocumentError: If it is invalid.
     """
     document = _decode(data, _Configuration)
     return make_table(
         document.version,
-        [_read_route(bytes(route)) for route in document.routes],
+        [_decode_route(bytes(route)) for route in document.routes],
         [_make_service(service) for service in document.services],
         CallerLimits(
             header_bytes=document.limits.max_header_bytes,
@@ -170,27 +173,27 @@
             header_s=document.limits.header_timeout_ms / 1000,
             idle_s=document.limits.idle_timeout_ms / 1000,
         ),
-        None if document.tenants is None else _read_keys(document.tenants),
+        None if document.tenants is None else _make_key_ring(document.tenants),
     )
 
 
 def decode_announcement(id: str, data: bytes) -> Announcement:
     """Decode a target's entry.
 
-    Others may write entries too: what lacks a field, or holds one of another type, a
-    state or a stage that is not named, or no address, names no target to use.
+    Other programs may write entries too. An entry that lacks a field, has a field of
+    another type, an unknown state or stage, or an invalid address is rejected.
 
     Args:
-        id: The target's id, the entry's key.
+        id: The target's id, which is the entry's key.
         data: The entry.
 
     Raises:
-        BadDocumentError: When it names no target to use.
+        BadDocumentError: If it describes no usable target.
     """
     if not is_id(id):
-        raise BadDocumentError("its key can't be an id")
-    if len(data) > MOST_ENTRY_BYTES:
-        raise BadDocumentError(f"{len(data)} bytes are too long for an entry")
+        raise BadDocumentError("the entry's key is not a valid target id")
+    if len(data) > MAX_ENTRY_BYTES:
+        raise BadDocumentError(f"{len(data)} bytes are more than an entry may have")
     entry = _decode(data, _Entry)
     _check_address(entry.address)
     born_ms = None if entry.born_ms is msgspec.UNSET else entry.born_ms
@@ -210,14 +213,14 @@
     """Check that an address is IP:PORT.
 
     Raises:
-        BadDocumentError: When it is not.
+        BadDocumentError: If it is not.
     """
     host, _, port = address.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
     except ValueError:
         raise BadDocumentError(f"{address[:80]!r} is no address") from None
-    if not (port.isascii() and port.isdigit() and 0 < int(port) <= MOST_PORT):
+    if not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
         raise BadDocumentError(f"{address[:80]!r} is no address")
 
 
@@ -225,12 +228,12 @@
     try:
         return msgspec.json.decode(data, type=kind)
     except (msgspec.MsgspecError, RecursionError, ValueError) as error:
-        # Values that lie in one another too deeply are no error of the codec's own.
+        # Values that are nested too deeply raise RecursionError, not a msgspec error.
         raise BadDocumentError(str(error)) from None
 
 
-@lru_cache(maxsize=ROUTES_KEPT)
-def _read_route(data: bytes) -> Route:
+@lru_cache(maxsize=MAX_CACHED_ROUTES)
+def _decode_route(data: bytes) -> Route:
     route = _decode(data, _Route)
     backends = tuple(Backend(b.service, b.weight) for b in route.backends)
     if route.service is not None:
@@ -239,8 +242,8 @@
         name=route.name,
         host=route.hostname.lower(),
         prefix=route.path_prefix,
-        # What is not known to be repeatable runs at most once.
-        kind=KINDS.get(route.kind, AT_MOST_ONCE),
+        # A request of unknown kind may not be safe to retry, so it runs at most once.
+        kind=KINDS_BY_NAME.get(route.kind, AT_MOST_ONCE),
         timeout_s=route.timeout_ms / 1000,
         latency_objective_s=route.target_latency_ms / 1000,
         attempts=route.max_attempts,
@@ -252,34 +255,39 @@
     )
 
 
-def _read_keys(tenants: list[_Tenant]) -> KeyRing:
-    """Read the keys of all workspaces; only their digests are kept.
+def _make_key_ring(tenants: list[_Tenant]) -> KeyRing:
+    """Make the key ring of all workspaces; it contains only the digests of their keys.
 
     Raises:
-        BadDocumentError: When any is no key, or belongs to two. No key is quoted.
+        BadDocumentError: If a name or a key is invalid, or two workspaces share a key.
+            Its message quotes no key.
     """
     findings, pairs = [], []
     for tenant in tenants:
         if not tenant.name.isascii() or not tenant.name.isprintable():
-            findings.append(f"{ascii(tenant.name)} can't be told in a header")
+            findings.append(f"{ascii(tenant.name)} is not printable ASCII")
         workspace = Workspace(tenant.name, tenant.priority)
         for key in tenant.api_keys:
             fault = find_key_fault(key)
             if fault is not None:
                 findings.append(f"workspace {tenant.name} has {fault}")
             pairs.append((digest_key(key.encode()), workspace))
-    ring, shared = make_key_ring(pairs)
-    findings += shared
+    ring, shared_keys = make_key_ring(pairs)
+    findings += shared_keys
     if findings:
-        raise BadDocumentError("; ".join(findings[:MOST_FINDINGS]))
+        raise BadDocumentError("; ".join(findings[:MAX_FINDINGS]))
     return ring
 
 
-def _find_move_s(engine: _Engine) -> float | None:
-    """Find how long a token takes from engine to engine, seconds; None: unknown."""
+def _compute_token_transfer_s(engine: _Engine) -> float | None:
+    """Compute how long the KV cache of one token takes from one engine to another.
+
+    Returns:
+        The time, seconds; None if the configuration does not give it.
+    """
     if engine.kv_token_bytes <= 0 or engine.link_mbps <= 0:
         return None
-    return engine.kv_token_bytes * BITS_A_BYTE / (engine.link_mbps * BITS_A_MEGABIT)
+    return engine.kv_token_bytes * BITS_PER_BYTE / (engine.link_mbps * BITS_PER_MEGABIT)
 
 
 def _make_service(service: _Service) -> Service:
@@ -291,7 +299,7 @@
             kv_retention_s=service.engine.kv_hold_s,
             role_change_s=service.engine.role_switch_s,
             event_tokens=max(1, service.engine.stride),
-            token_transfer_s=_find_move_s(service.engine),
+            token_transfer_s=_compute_token_transfer_s(service.engine),
         )
     scaling = None
     if service.scaling is not None:
--- a/src/robinspindle/platform/duties.py
+++ b/src/robinspindle/platform/duties.py
@@ -1,4 +1,4 @@
-"""Writes what duties ask of the platform's API, and reads what it says to it."""
+"""Encodes calls of singleton duties to the platform's API and decodes its responses."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 from robinspindle.scaler import ScaleOrder
 
 HOST = "platform"
-"""What the API is called in the calls to it; it has an address and no name."""
+"""Value of the ``Host`` header: the API has an address and no name."""
 
 OUTCOMES = {
     200: DutyOutcome.TAKEN,
@@ -18,13 +18,13 @@
 
 
 def encode_report(report: Report) -> bytes:
-    """Write a report of a window's usage."""
+    """Encode a call that reports the usage of a window."""
     values = {"Window": report.window, "Counts": report.counts}
     return _encode("/usage", report.holder, report.fence, values)
 
 
 def encode_scale_order(order: ScaleOrder) -> bytes:
-    """Write an order of how many targets a service has in a zone."""
+    """Encode a call that sets the number of targets of a service in a zone."""
     return _encode(
         "/scale",
         order.holder,
@@ -39,5 +39,5 @@
 
 
 def decode_duty_outcome(status: int) -> DutyOutcome:
-    """Read how a call was taken."""
+    """Return the outcome of a call from its HTTP status."""
     return OUTCOMES.get(status, DutyOutcome.REFUSED)
--- a/src/robinspindle/platform/jsoncalls.py
+++ b/src/robinspindle/platform/jsoncalls.py
@@ -1,4 +1,4 @@
-"""Writes calls with a JSON body, as engines and the platform's API take them."""
+"""Encodes HTTP requests with a JSON body, for engines and the platform's API."""
 
 from typing import Any
 
@@ -8,20 +8,20 @@
 def write_json_call(
     path: str, host: str, headers: tuple[tuple[str, str | int], ...], values: Any
 ) -> bytes:
-    """Write a POST with a JSON body.
+    """Encode a POST request with a JSON body.
 
     Args:
-        path: Its path.
-        host: Whom it is for.
-        headers: Its own headers, in order.
-        values: What the body holds.
+        path: Path of the request.
+        host: Value of the ``Host`` header.
+        headers: Additional headers, in order.
+        values: The value that is encoded as the body.
     """
     body = msgspec.json.encode(values)
-    own = "".join(f"{name}: {value}\r\n" for name, value in headers)
+    lines = "".join(f"{name}: {value}\r\n" for name, value in headers)
     head = (
         f"POST {path} HTTP/1.1\r\n"
         f"Host: {host}\r\n"
-        f"{own}"
+        f"{lines}"
         "Content-Type: application/json\r\n"
         f"Content-Length: {len(body)}\r\n\r\n"
     )
--- a/src/robinspindle/platform/orders.py
+++ b/src/robinspindle/platform/orders.py
@@ -1,4 +1,4 @@
-"""Writes orders to engines and reads what they say to them."""
+"""Encodes orders to engines and decodes their responses."""
 
 from robinspindle.core.lifetimes import find_id
 from robinspindle.ordering import Order, OrderOutcome
@@ -14,7 +14,7 @@
 
 
 def encode_order(order: Order) -> bytes:
-    """Write an order to change an engine's role."""
+    """Encode an order to change an engine's role."""
     values = {
         "Op": "Stage",
         "Stage": order.role,
@@ -26,5 +26,5 @@
 
 
 def decode_outcome(status: int) -> OrderOutcome:
-    """Read how an order was taken."""
+    """Return the outcome of an order from its HTTP status."""
     return OUTCOMES.get(status, OrderOutcome.REFUSED)
--- a/src/robinspindle/platform/start.py
+++ b/src/robinspindle/platform/start.py
@@ -13,16 +13,19 @@
 def start_gateway(
     path: str, metrics_port: int = 0, is_quiet: bool = False, policy_path: str = ""
 ) -> int:
-    """Run a gateway until it is told to stop.
+    """Run a gateway until it is asked to stop.
 
     Args:
         path: The settings file.
         metrics_port: Port for metrics, 0 for none.
-        is_quiet: Whether lines about success are left out of the logs.
-        policy_path: The policy file; empty for all decisions in force.
+        is_quiet: Whether the logs leave out lines about success.
+        policy_path: The policy file; if empty, all decisions are enabled.
+
+    Returns:
+        The exit code, 0.
 
     Raises:
-        InvalidDocumentError: When the settings or the policy have findings.
+        InvalidDocumentError: If the settings or the policy are invalid.
     """
 
     def reread() -> GatewaySettings:
--- a/src/robinspindle/platform/store.py
+++ b/src/robinspindle/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store: a log service with topics, spoken over HTTP."""
+"""Client of the platform's store: a log service with topics, over HTTP."""
 
 import base64
 import struct
@@ -30,31 +30,33 @@
 REPORTS_TOPIC = "keyed.usage"
 
 ERA_HEADER = b"store-era"
-"""What names the era in the head of each answer."""
+"""Response header that names the store era."""
 
 CALL_TIMEOUT_S = 1.0
-"""Longest wait for an answer to begin, beyond the wait that was asked for, and for each
-further piece of it, seconds: the store answers in a few ms, in some hundred when it is
-slow, and on a link of 6 Mbit/s that is full pieces came within 80 ms of each other."""
+"""Longest wait for a response to begin, beyond the wait that the request asks for, and
+for each further piece of it, seconds. The store responds within a few milliseconds, or
+a few hundred when it is slow. On a saturated link of 6 Mbit/s, pieces arrived within 80
+ms of each other."""
 
 CONNECT_TIMEOUT_S = 0.5
 """Longest wait for a new connection to the store, seconds."""
 
-READ_KB = 1024
-"""The most that one read may bring, kilobytes."""
+MAX_READ_KB = 1024
+"""Maximum size of the records that one read returns, kilobytes."""
 
-READ_HEAD_BYTES = 16
-"""Bytes before the first record of an answer: two numbers of 8 bytes."""
+READ_PREFIX_BYTES = 16
+"""Bytes before the first record in the response to a read: two numbers of 8 bytes."""
 
-DONE = 200
+OK = 200
 TRIMMED = 410
 CONFLICT = 412
-"""Statuses of the store: done; the records are gone; the topic ends elsewhere."""
+"""HTTP statuses of the store: success; the records are no longer retained; the topic
+does not end at the expected offset."""
 
 
 @dataclass(frozen=True)
 class KeyedRecord:
-    """The newest record of a key; a value of None drops the key."""
+    """A record of a key; a value of None removes the key."""
 
     key: str
     value: bytes | None
@@ -62,38 +64,44 @@
 
 @dataclass(frozen=True)
 class Records:
-    """Records of one keyed topic, the offset after them, and the topic's own end."""
+    """Records of one keyed topic.
+
+    Attributes:
+        items: The records.
+        end: The offset from which reading continues.
+        topic_end: The offset after the topic's last record.
+    """
 
     items: tuple[KeyedRecord, ...]
     end: int
     topic_end: int
 
 
-class _Item(msgspec.Struct, rename="pascal"):
+class _KeyedItem(msgspec.Struct, rename="pascal"):
     key: str
     value: str
 
 
-class _Newest(msgspec.Struct):
-    items: list[_Item]
+class _Page(msgspec.Struct):
+    items: list[_KeyedItem]
     has_more: bool = msgspec.field(name="HasMore")
     end: int = msgspec.field(name="End")
 
 
-UNREADABLE = KeyedRecord("", None)
-"""What a record without a readable key is taken as."""
+UNREADABLE_RECORD = KeyedRecord("", None)
+"""Stands for a record without a valid key; it removes no key."""
 
 
 class Store:
-    """One client of the store.
+    """A client of the store.
 
     Attributes:
         calls: Calls made so far, for metrics.
-        received_bytes: Bytes of the answers that came whole.
-        wasted_bytes: Bytes of answers that were given up or broke off.
-        era: The newest era that an answer told; None before the first.
-        unreadable_eras: Answers whose era could not be read.
-        note_era: Told each new era after the first.
+        received_bytes: Bytes of the responses that were received completely.
+        wasted_bytes: Bytes of the responses that timed out or broke off.
+        era: The latest era in a response; None before the first one.
+        unreadable_eras: Number of responses with an invalid era.
+        note_era: Called with each new era after the first.
     """
 
     def __init__(self, address: HostPort, clock: Callable[[], float]):
@@ -108,14 +116,15 @@
         self.note_era: Callable[[int], None] = lambda era: None
 
     def drop_connections(self) -> None:
-        """Drop kept connections: a call goes out on a new one."""
+        """Close idle connections, so that the next call opens a new one."""
         self._pool.close()
 
     async def read_newest(self, topic: str) -> Records:
         """Read the newest record of each key.
 
         Raises:
-            LogUnavailableError: When the store gives no good answer.
+            EraChangedError: If the store has been restored from a backup.
+            LogUnavailableError: If the store sends no valid response.
         """
         items: list[KeyedRecord] = []
         end: int | None = None
@@ -124,36 +133,44 @@
             query = {"Topic": topic, "part": 0}
             if after:
                 query["after"] = after
-            page = self._decode(await self._call("GET", "/log-newest", query), _Newest)
+            page = self._decode(await self._call("GET", "/log-newest", query), _Page)
             items += [KeyedRecord(i.key, _decode_base64(i.value)) for i in page.items]
-            # Pages are no snapshot: what changed since the first is read again.
+            # Pages are no snapshot. Reading continues at the lowest end of all pages,
+            # so that changes since the first page are read again.
             end = page.end if end is None else min(end, page.end)
             if not page.has_more or not page.items:
                 return Records(tuple(items), end, end)
             after = page.items[-1].key
 
     async def read_from(self, topic: str, offset: int, wait_s: float) -> Records:
-        """Read the records of a keyed topic from an offset, waiting for the first.
+        """Read the records of a keyed topic from an offset on.
+
+        Args:
+            topic: The topic.
+            offset: Offset of the first record.
+            wait_s: How long the store waits for the first record, seconds.
 
         Raises:
-            LogUnavailableError: When the store gives no good answer.
-            RecordsTrimmedError: When the records are no longer kept.
+            EraChangedError: If the store has been restored from a backup.
+            LogUnavailableError: If the store sends no valid response.
+            RecordsTrimmedError: If the records are no longer retained.
         """
         query = {
             "Topic": topic,
             "part": 0,
             "From": offset,
-            "MaxKb": READ_KB,
+            "MaxKb": MAX_READ_KB,
             "WaitMs": int(wait_s * 1000),
         }
         data = await self._call("GET", "/log-read", query, wait_s=wait_s)
         try:
-            # The end of the partition, not of this answer, and the first offset kept.
+            # The end of the partition, not of this response, and the first retained
+            # offset.
             topic_end, _ = struct.unpack_from(">QQ", data)
-            values = _split_records(data[READ_HEAD_BYTES:])
+            values = _split_records(data[READ_PREFIX_BYTES:])
             items = tuple(_decode_keyed(value) for value in values)
         except (struct.error, ValueError) as error:
-            raise LogUnavailableError(f"bad records: {error}") from None
+            raise LogUnavailableError(f"invalid records: {error}") from None
         return Records(items, offset + len(items), topic_end)
 
     async def append_keyed(
@@ -163,16 +180,19 @@
 
         Args:
             topic: A topic whose name begins with ``keyed.``.
-            key: Its key.
-            value: Its value; empty drops the key.
-            expected_end: Append only if the topic ends there.
+            key: Key of the record.
+            value: Value of the record; an empty value removes the key.
+            expected_end: Append only if the topic ends at this offset; None to append
+                regardless.
 
         Returns:
             The record's offset.
 
         Raises:
-            LogConflictError: When the topic ends elsewhere.
-            LogUnavailableError: When the store gives no good answer.
+            EraChangedError: If the store has been restored from a backup.
+            LogConflictError: If the topic does not end at the expected offset.
+            LogUnavailableError: If the store sends no valid response. The record may
+                have been appended.
         """
         query: dict[str, Any] = {"Topic": topic, "part": 0}
         if expected_end is not None:
@@ -180,14 +200,14 @@
         name = key.encode()
         record = bytes([len(name)]) + name + value
         body = struct.pack(">I", len(record)) + record
-        answer = await self._call("POST", "/log-append", query, body)
-        return self._decode(answer, _Appended).offset
+        response = await self._call("POST", "/log-append", query, body)
+        return self._decode(response, _Appended).offset
 
     def _decode(self, data: bytes, kind: Any) -> Any:
         try:
             return msgspec.json.decode(data, type=kind)
         except msgspec.MsgspecError as error:
-            raise LogUnavailableError(f"bad answer: {error}") from None
+            raise LogUnavailableError(f"invalid response: {error}") from None
 
     async def _call(
         self,
@@ -210,31 +230,31 @@
         first_s = wait_s + CALL_TIMEOUT_S
         limits = CallLimits(CONNECT_TIMEOUT_S, first_s, CALL_TIMEOUT_S)
         try:
-            head, answer = await call_once(
+            head, response = await call_once(
                 self._pool, self._clock, data, limits, transfer
             )
         except (ConnectionBrokenError, TimeoutError) as error:
             self.wasted_bytes += transfer.received
-            text = str(error) or "no answer in time"
+            text = str(error) or "no response within the time limit"
             raise LogUnavailableError(
                 text, transfer.received, self._clock() - transfer.moved_at
             ) from None
         self.received_bytes += transfer.received
         self._note_era(head)
         if head.status == TRIMMED:
-            raise RecordsTrimmedError(self._decode(answer, _Trimmed).first)
+            raise RecordsTrimmedError(self._decode(response, _Trimmed).first)
         if head.status == CONFLICT:
-            raise LogConflictError(self._decode(answer, _Conflict).end)
-        if head.status != DONE:
-            raise LogUnavailableError(f"answered {head.status}")
-        return answer
+            raise LogConflictError(self._decode(response, _Conflict).end)
+        if head.status != OK:
+            raise LogUnavailableError(f"the store responded with status {head.status}")
+        return response
 
     def _note_era(self, head: AnswerHead) -> None:
-        """Take note of the era in which an answer was given.
+        """Record the era of a response.
 
         Raises:
-            EraChangedError: When a new one has begun: the call was made in the last.
-            LogUnavailableError: When it is gone: the answer came late.
+            EraChangedError: If it is a new era; the call was made in an earlier one.
+            LogUnavailableError: If the era is over, so the response is outdated.
         """
         value = next((v for n, v in head.headers if n.lower() == ERA_HEADER), None)
         if value is None:
@@ -245,11 +265,11 @@
             return
         change = compare_eras(self.era, era)
         if change is EraChange.OLDER:
-            raise LogUnavailableError(f"an answer of era {era}, which is gone")
+            raise LogUnavailableError(f"a response of era {era}, which is over")
         self.era = era
         if change is EraChange.NEWER:
             self.note_era(era)
-            raise EraChangedError(f"the store returned from a copy: era {era}")
+            raise EraChangedError(f"the store was restored from a backup: era {era}")
 
 
 class _Appended(msgspec.Struct, rename="pascal"):
@@ -266,34 +286,34 @@
 
 def _split_records(data: bytes) -> list[bytes]:
     records = []
-    at = 0
-    while at < len(data):
-        (length,) = struct.unpack_from(">I", data, at)
-        at += 4
-        if at + length > len(data):
-            raise ValueError("a record is cut short")
-        records.append(data[at : at + length])
-        at += length
+    position = 0
+    while position < len(data):
+        (length,) = struct.unpack_from(">I", data, position)
+        position += 4
+        if position + length > len(data):
+            raise ValueError("a record is truncated")
+        records.append(data[position : position + length])
+        position += length
     return records
 
 
 def _decode_keyed(record: bytes) -> KeyedRecord:
-    """Decode a record; one without a readable key counts as the removal of no key.
+    """Decode a record; one without a valid key becomes `UNREADABLE_RECORD`.
 
-    Others write to some topics too. It has to keep its place among the offsets, and
-    must not end the reading of those behind it.
+    Other programs write to some topics too. An invalid record still counts in the
+    offsets, and the records after it are still read.
     """
     end = 1 + (record[0] if record else 0)
     try:
         if len(record) < end:
-            return UNREADABLE
+            return UNREADABLE_RECORD
         return KeyedRecord(record[1:end].decode(), record[end:] or None)
     except UnicodeDecodeError:
-        return UNREADABLE
+        return UNREADABLE_RECORD
 
 
 def _decode_base64(text: str) -> bytes:
     try:
         return base64.b64decode(text, validate=True)
     except ValueError as error:
-        raise LogUnavailableError(f"not base64: {error}") from None
+        raise LogUnavailableError(f"a value is not base64: {error}") from None
