--- a/src/robinspindle/core/idempotency.py
+++ b/src/robinspindle/core/idempotency.py
@@ -37,8 +37,8 @@
 def resolve_key(entry: Dispatcher, active: ActiveRequest, now: float) -> list[Effect]:
     """Look up an idempotency key before a slot is reserved for it.
 
-    A free key leads to an offer, a stored answer is delivered again, and a run under
-    way is joined. A key that was used with a different body is refused.
+    A free key leads to an offer, a stored answer is delivered again, and a run in
+    progress is joined. A key that was used with a different body is refused.
     """
     claimed_key = entry.claims.claimed.get(active.work.key)
     if claimed_key is None:
--- a/src/robinspindle/core/placement.py
+++ b/src/robinspindle/core/placement.py
@@ -16,6 +16,7 @@
 from robinspindle.messages import Offer, Work
 
 MAX_OFFERS = 4
+"""Most refused offers of one request."""
 
 
 def list_peers(entry: Dispatcher) -> list[str]:
@@ -111,7 +112,7 @@
         candidate.target: entry.state.targets[candidate.target].role
         for candidate in candidates
     }
-    mixed_candidates = [
+    answering_candidates = [
         candidate for candidate in candidates if roles[candidate.target] != "prefill"
     ] or candidates
     prefill_candidates = [
@@ -123,9 +124,9 @@
     if (
         not prefill_candidates
         or not decode_candidates
-        or not _is_long_prompt(entry, work, mixed_candidates)
+        or not _is_long_prompt(entry, work, answering_candidates)
     ):
-        return entry.choose_target(mixed_candidates, work, entry.rng), work
+        return entry.choose_target(answering_candidates, work, entry.rng), work
     decode_work = msgspec.structs.replace(work, stage="decode")
     decode_candidate = entry.choose_target(decode_candidates, decode_work, entry.rng)
     active.decode_target = decode_candidate.target
