--- a/fuzz/dutymutants.py
+++ b/fuzz/dutymutants.py
@@ -27,7 +27,7 @@
     async def append(self, key, window, counts):
         name, end = self.authority.name, self.authority.end
         record = Record(name, end + 1, end, window, counts)
-        usagereports.take_record(self.reports, record)
+        usagereports.apply_record(self.reports, record)
         self.claim = Claim(end + 1, self._clock(), self.authority.era)
 
     return append
@@ -81,7 +81,7 @@
     Mutant("use old fences", dutylog, "make_fence", lambda r: lambda era, at: 1),
     Mutant("claim without waiting", authority, "may_claim", lambda r: lambda *_: True),
     Mutant("use a claim for ever", authority, "may_use", lambda r: lambda *_: True),
-    Mutant("take all for confirmed", usage, "note_confirmed", _confirm_all),
+    Mutant("take all for confirmed", usage, "note_received", _confirm_all),
     Mutant("decide anew", usagereports, "find_stage", _decide_anew),
     Mutant("decide at once", usagereports, "DECIDE_SHARE", lambda r: -0.05),
     Mutant("report nothing late", usagereports, "list_due", lambda r: lambda *_: []),
--- a/src/robinspindle/core/aggregation.py
+++ b/src/robinspindle/core/aggregation.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from robinspindle.core.crashupdates import RequestUpdates, merge_updates
-from robinspindle.core.peerdigests import Digest, Load, PrefillStatistics
+from robinspindle.core.peerdigests import Digest, PrefillStatistics, TargetLoad
 from robinspindle.core.prefillmodel import add_fit_sums
 
 MAX_GROUP_PLACEMENTS = 96
@@ -32,7 +32,7 @@
         placements=last.placements + digest.placements,
         role_changes=last.role_changes + digest.role_changes,
         prefill_statistics=digest.prefill_statistics or last.prefill_statistics,
-        silent_targets=sorted({*last.silent_targets, *digest.silent_targets}),
+        timed_out_targets=sorted({*last.timed_out_targets, *digest.timed_out_targets}),
         caches=last.caches + digest.caches,
         requests=_merge_requests([last, digest]),
     )
@@ -44,7 +44,7 @@
         digest,
         placements=[],
         role_changes=[],
-        silent_targets=[],
+        timed_out_targets=[],
         caches=[],
         requests=None,
     )
@@ -67,8 +67,8 @@
         prefill_loads=_add_rates(digests),
         role_changes=[order for digest in digests for order in digest.role_changes],
         prefill_statistics=_add_statistics(digests) if is_full else [],
-        silent_targets=sorted(
-            {lifetime for digest in digests for lifetime in digest.silent_targets}
+        timed_out_targets=sorted(
+            {lifetime for digest in digests for lifetime in digest.timed_out_targets}
         ),
         caches=[cache for digest in digests for cache in digest.caches],
         members=[digest.sender for digest in digests] if is_full else None,
@@ -110,8 +110,8 @@
     return reduce(merge_updates, updates) if updates else None
 
 
-def _add_loads(digests: list[Digest]) -> list[Load]:
-    found: dict[str, Load] = {}
+def _add_loads(digests: list[Digest]) -> list[TargetLoad]:
+    found: dict[str, TargetLoad] = {}
     for digest in digests:
         for load in digest.loads:
             known = found.get(load.lifetime)
@@ -119,23 +119,23 @@
     return list(found.values())
 
 
-def _add(first: Load, second: Load) -> Load:
-    return Load(
+def _add(first: TargetLoad, second: TargetLoad) -> TargetLoad:
+    return TargetLoad(
         first.lifetime,
         first.in_flight + second.in_flight,
-        [a + b for a, b in zip(first.work_ms, second.work_ms, strict=True)],
+        [a + b for a, b in zip(first.backlog_ms, second.backlog_ms, strict=True)],
         first.long_answers + second.long_answers,
         min(first.heard_ms_ago, second.heard_ms_ago),
     )
 
 
-def _subtract(total: Load, one: Load | None) -> Load:
+def _subtract(total: TargetLoad, one: TargetLoad | None) -> TargetLoad:
     if one is None:
         return total
-    return Load(
+    return TargetLoad(
         total.lifetime,
         total.in_flight - one.in_flight,
-        [a - b for a, b in zip(total.work_ms, one.work_ms, strict=True)],
+        [a - b for a, b in zip(total.backlog_ms, one.backlog_ms, strict=True)],
         total.long_answers - one.long_answers,
         total.heard_ms_ago,
     )
--- a/src/robinspindle/core/peerdigests.py
+++ b/src/robinspindle/core/peerdigests.py
@@ -47,20 +47,20 @@
 itself."""
 
 
-class Load(msgspec.Struct, array_like=True):
+class TargetLoad(msgspec.Struct, array_like=True):
     """The requests of one gateway that are in flight at one target.
 
     Attributes:
         lifetime: The target's lifetime.
         in_flight: Number of requests.
-        work_ms: Prefill backlog by priority level, milliseconds.
+        backlog_ms: Prefill backlog by priority level, milliseconds.
         long_answers: Number of long answers that are being decoded.
         heard_ms_ago: Time since the last message of the target, milliseconds.
     """
 
     lifetime: str
     in_flight: int
-    work_ms: list[int]
+    backlog_ms: list[int]
     long_answers: int = 0
     heard_ms_ago: int = NEVER_HEARD_MS
 
@@ -71,14 +71,14 @@
     Attributes:
         lifetime: The engine's lifetime.
         parts: Ids and numbers of tokens of the prompt's parts, in order.
-        work_ms: Estimated prefill time, milliseconds; 0 if the engine fetches the KV
+        prefill_ms: Estimated prefill time, milliseconds; 0 if the engine fetches the KV
             cache instead.
         level: Priority level of the prefill.
     """
 
     lifetime: str
     parts: list[tuple[str, int]]
-    work_ms: int = 0
+    prefill_ms: int = 0
     level: int = FIRST_RANK_LEVEL
 
 
@@ -123,7 +123,7 @@
         role_changes: Engines whose role the sender changed recently, with the new role.
         prefill_statistics: Statistics to fit the prefill model; empty if they are not
             in this digest.
-        silent_targets: Targets that recently timed out for the sender.
+        timed_out_targets: Targets that recently timed out for the sender.
         caches: Contents of caches, for peers that have just started.
         members: Names of all gateways that a relay's digest covers; None if they are
             not in this digest.
@@ -138,12 +138,12 @@
     sender: str
     started: float
     number: int
-    loads: list[Load]
+    loads: list[TargetLoad]
     placements: list[Placement]
     prefill_loads: dict[str, float] = {}
     role_changes: list[tuple[str, str]] = []
     prefill_statistics: list[PrefillStatistics] = []
-    silent_targets: list[str] = []
+    timed_out_targets: list[str] = []
     caches: list[Cache] = []
     members: list[str] | None = None
     topic_ends: dict[str, int] = {}
@@ -258,10 +258,10 @@
     for placement in digest.placements:
         engine = find(placement.lifetime)
         if engine is not None:
-            ready_at = now + engine.backlog_s + placement.work_ms / 1000
+            ready_at = now + engine.backlog_s + placement.prefill_ms / 1000
             note_placed(engine, [Part(*part) for part in placement.parts], ready_at)
-            if placement.work_ms:
-                seconds = placement.work_ms / 1000
+            if placement.prefill_ms:
+                seconds = placement.prefill_ms / 1000
                 note_prefill_start(engine, now, seconds, placement.level)
     return True
 
@@ -293,7 +293,7 @@
 
 
 def _replace_loads(
-    peer: PeerView, name: str, loads: list[Load], find: FindEngine
+    peer: PeerView, name: str, loads: list[TargetLoad], find: FindEngine
 ) -> None:
     for lifetime in peer.lifetimes - {load.lifetime for load in loads}:
         engine = find(lifetime)
@@ -304,7 +304,7 @@
     for load in loads:
         engine = find(load.lifetime)
         if engine is not None:
-            note_peer_backlog(engine, name, [ms / 1000 for ms in load.work_ms])
+            note_peer_backlog(engine, name, [ms / 1000 for ms in load.backlog_ms])
             engine.peers_in_flight[name] = load.in_flight
             engine.peers_long_answers[name] = load.long_answers
     peer.lifetimes = {load.lifetime for load in loads}
--- a/src/robinspindle/core/peervalidation.py
+++ b/src/robinspindle/core/peervalidation.py
@@ -13,8 +13,8 @@
     ConfigurationAge,
     Digest,
     Facts,
-    Load,
     Placement,
+    TargetLoad,
 )
 from robinspindle.core.prefillmodel import FitSums
 from robinspindle.core.priorities import LEVELS
@@ -24,7 +24,7 @@
 """Maximum number of requests at one engine: about a hundred times what the largest
 current engines accept."""
 
-MAX_WORK_MS = 3_600_000
+MAX_BACKLOG_MS = 3_600_000
 """Maximum prefill backlog of one engine, milliseconds: one hour."""
 
 MAX_TOKENS = 100_000_000
@@ -76,10 +76,10 @@
     return age.version >= 0 and 0 <= age.age_ms <= MAX_AGE_MS
 
 
-def _is_load_valid(load: Load) -> bool:
+def _is_load_valid(load: TargetLoad) -> bool:
     return (
-        len(load.work_ms) == LEVELS
-        and all(0 <= ms <= MAX_WORK_MS for ms in load.work_ms)
+        len(load.backlog_ms) == LEVELS
+        and all(0 <= ms <= MAX_BACKLOG_MS for ms in load.backlog_ms)
         and 0 <= load.in_flight <= MAX_REQUESTS
         and 0 <= load.long_answers <= MAX_REQUESTS
         and load.heard_ms_ago >= 0
@@ -88,7 +88,7 @@
 
 def _is_placement_valid(placement: Placement) -> bool:
     return (
-        0 <= placement.work_ms <= MAX_WORK_MS
+        0 <= placement.prefill_ms <= MAX_BACKLOG_MS
         and 0 <= placement.level < LEVELS
         and all(0 <= tokens <= MAX_TOKENS for _, tokens in placement.parts)
     )
--- a/src/robinspindle/core/quarantine.py
+++ b/src/robinspindle/core/quarantine.py
@@ -16,7 +16,7 @@
 from robinspindle.core.lifetimes import is_id
 from robinspindle.exceptions import BadDocumentError
 
-FIRST_TRIAL_S = 300.0
+FIRST_TRIAL_DELAY_S = 300.0
 """Time in quarantine after which a request may run once, seconds. It doubles with each
 trial. Each trial costs a target if the request is the cause."""
 
@@ -179,7 +179,7 @@
     """
     if entry.trials >= MAX_TRIALS:
         return None
-    return entry.at_ms + int(FIRST_TRIAL_S * 1000) * 2**entry.trials
+    return entry.at_ms + int(FIRST_TRIAL_DELAY_S * 1000) * 2**entry.trials
 
 
 def may_try(entry: Entry, now_ms: int) -> bool:
--- a/src/robinspindle/core/usage.py
+++ b/src/robinspindle/core/usage.py
@@ -140,7 +140,7 @@
         _set(ledger, count_key, _read(ledger, count_key))
 
 
-def list_unconfirmed(
+def list_unacknowledged(
     ledger: Ledger, neighbour: str, started: float, number: int, left_out: set[str]
 ) -> list[Account]:
     """List the counts that a neighbour has not acknowledged, the oldest change first.
@@ -152,13 +152,13 @@
         number: Number of the datagram in which the counts are sent.
         left_out: The gateways whose counts are not sent to it.
     """
-    known = _find_confirmed(ledger, neighbour, started)
-    unconfirmed: list[CountKey] = []
+    known = _find_progress(ledger, neighbour, started)
+    unacknowledged: list[CountKey] = []
     last = known.change
     # Starts at the oldest change that is not acknowledged, so that the cost depends on
     # the number of counts to send.
     for change, count_key in _list_changes(ledger, known.change):
-        if len(unconfirmed) == MAX_COUNTS_PER_DATAGRAM:
+        if len(unacknowledged) == MAX_COUNTS_PER_DATAGRAM:
             break
         last = change
         if ledger.changes.get(count_key) != change:
@@ -169,21 +169,21 @@
             count_key.incarnation == make_incarnation(started) if is_own else False
         )
         if not has_count and (is_own or count_key.gateway not in left_out):
-            unconfirmed.append(count_key)
+            unacknowledged.append(count_key)
     known.sent[number] = last
-    return _gather(ledger, unconfirmed)
+    return _gather(ledger, unacknowledged)
 
 
-def note_confirmed(ledger: Ledger, neighbour: str, started: float, number: int) -> None:
+def note_received(ledger: Ledger, neighbour: str, started: float, number: int) -> None:
     """Note that a neighbour received a datagram, and with it all changes up to it."""
-    known = _find_confirmed(ledger, neighbour, started)
+    known = _find_progress(ledger, neighbour, started)
     if number not in known.sent:
         return
     known.change = max(known.change, known.sent[number])
     known.sent = {n: c for n, c in known.sent.items() if n > number}
 
 
-def is_confirmed(ledger: Ledger, gateway: str, window: int) -> bool:
+def is_acknowledged(ledger: Ledger, gateway: str, window: int) -> bool:
     """Whether some neighbour has acknowledged all counts of a gateway in a window."""
     count_keys = _list_keys(ledger, gateway, window)
     last = max((ledger.changes[count_key] for count_key in count_keys), default=0)
@@ -264,9 +264,7 @@
     return [k for k in ledger.counts.get(window, {}) if k.gateway == gateway]
 
 
-def _find_confirmed(
-    ledger: Ledger, neighbour: str, started: float
-) -> NeighbourProgress:
+def _find_progress(ledger: Ledger, neighbour: str, started: float) -> NeighbourProgress:
     known = ledger.neighbours.get(neighbour)
     if known is None or known.started != started:
         known = ledger.neighbours[neighbour] = NeighbourProgress(started)
--- a/src/robinspindle/core/usagereports.py
+++ b/src/robinspindle/core/usagereports.py
@@ -133,7 +133,7 @@
     return key.startswith("counts/")
 
 
-def take_record(reports: Reports, record: Record) -> bool:
+def apply_record(reports: Reports, record: Record) -> bool:
     """Apply a record from the store.
 
     Returns:
--- a/src/robinspindle/dutylog.py
+++ b/src/robinspindle/dutylog.py
@@ -108,7 +108,7 @@
         await self._store.append_keyed(self._topic, key, data, expected_end=end)
         self.must_read = False
         authority.end = end + 1
-        usagereports.take_record(self.reports, record)
+        usagereports.apply_record(self.reports, record)
         claims.note_claim(authority, self._clock(), authority.name)
         self.claim = Claim(record.fence, sent_at, era)
 
@@ -167,5 +167,5 @@
             return
         if isinstance(found, Spilled):
             self._book.take(filter(usage.is_valid_account, found.accounts))
-        elif usagereports.take_record(self.reports, found):
+        elif usagereports.apply_record(self.reports, found):
             claims.note_claim(self.authority, self._clock(), found.holder)
--- a/src/robinspindle/fleet.py
+++ b/src/robinspindle/fleet.py
@@ -3,7 +3,12 @@
 from robinspindle.core import health, prefillmodel, silence
 from robinspindle.core.engines import Engine, make_engine, note_earlier_cache
 from robinspindle.core.forwarding import Part
-from robinspindle.core.peerdigests import NEVER_HEARD_MS, Cache, Load, PrefillStatistics
+from robinspindle.core.peerdigests import (
+    NEVER_HEARD_MS,
+    Cache,
+    PrefillStatistics,
+    TargetLoad,
+)
 from robinspindle.core.prefillmodel import PrefillModel
 from robinspindle.core.routes import EngineSpec, RouteTable
 from robinspindle.core.targets import Directory, Target
@@ -124,7 +129,7 @@
         target = self.directory.targets.get(lifetime)
         return None if target is None else self.find_engine(target)
 
-    def list_loads(self, now: float) -> list[Load]:
+    def list_loads(self, now: float) -> list[TargetLoad]:
         """List what this gateway has under way at engines."""
         known = self.directory.targets
         return [
@@ -163,7 +168,7 @@
         elif not engine.is_cache_known:
             note_earlier_cache(engine, parts)
 
-    def note_heard_by_peer(self, loads: list[Load], now: float) -> None:
+    def note_heard_by_peer(self, loads: list[TargetLoad], now: float) -> None:
         """Take note of what a peer heard of engines that only read.
 
         They answer only when a whole prompt is read, so the next answer may be a
@@ -304,8 +309,8 @@
     return engine.prefill_only and now - target.liveness.heard_at < HEARD_NEWS_S
 
 
-def _make_load(target: Target, engine: Engine, now: float) -> Load:
-    return Load(
+def _make_load(target: Target, engine: Engine, now: float) -> TargetLoad:
+    return TargetLoad(
         target.announced.lifetime,
         target.in_flight,
         [round(seconds * 1000) for seconds in engine.own_backlog_s],
--- a/src/robinspindle/peerfacts.py
+++ b/src/robinspindle/peerfacts.py
@@ -53,7 +53,7 @@
         )
         if self.book.schedule is not None and self._tells_counts(name):
             started = view.started if view is not None else -math.inf
-            facts.counts = self.book.list_unconfirmed(
+            facts.counts = self.book.list_unacknowledged(
                 name, started, self.peers.number, self._list_left_out()
             )
         return facts
@@ -62,7 +62,7 @@
         """Take in what a peer tells."""
         view = self.peers.views.get(sender)
         if facts.last_received is not None and view is not None:
-            usage.note_confirmed(
+            usage.note_received(
                 self.book.ledger, sender, view.started, facts.last_received
             )
         as_of = self.peers.sent_times.get(facts.last_received)
--- a/src/robinspindle/peerlink.py
+++ b/src/robinspindle/peerlink.py
@@ -20,9 +20,9 @@
     Cache,
     Datagram,
     Digest,
-    Load,
     Placement,
     PrefillStatistics,
+    TargetLoad,
 )
 from robinspindle.core.peervalidation import are_facts_valid, find_fault
 from robinspindle.core.targets import Target
@@ -50,12 +50,12 @@
 class News:
     """What a gateway has to tell; see `Digest` for the parts."""
 
-    loads: list[Load]
+    loads: list[TargetLoad]
     placements: list[Placement]
     prefill_loads: dict[str, float] = field(default_factory=dict)
     role_changes: list[tuple[str, str]] = field(default_factory=list)
     prefill_statistics: list[PrefillStatistics] = field(default_factory=list)
-    silent_targets: list[str] = field(default_factory=list)
+    timed_out_targets: list[str] = field(default_factory=list)
     topic_ends: dict[str, int] = field(default_factory=dict)
     is_store_unavailable: bool = False
     requests: RequestUpdates | None = None
@@ -77,7 +77,7 @@
     def forget_learnt(self, peer: str) -> None:
         """Forget what a peer that fell silent has told."""
 
-    def note_heard_by_peer(self, loads: list[Load], now: float) -> None:
+    def note_heard_by_peer(self, loads: list[TargetLoad], now: float) -> None:
         """Take note of what a peer heard of engines."""
 
     def note_told_cache(self, cache: Cache) -> None:
@@ -221,7 +221,7 @@
         fleet.note_heard_by_peer(digest.loads, now)
         for cache in digest.caches:
             fleet.note_told_cache(cache)
-        for target in fleet.note_reported_silent(digest.silent_targets, now):
+        for target in fleet.note_reported_silent(digest.timed_out_targets, now):
             name = target.announced.lifetime
             self._log("target is silent for a peer", target=name, peer=author)
         for lifetime, role in digest.role_changes:
@@ -302,7 +302,7 @@
             news.prefill_loads,
             news.role_changes,
             news.prefill_statistics if tells_all else [],
-            news.silent_targets,
+            news.timed_out_targets,
             take_caches(self._fleet, peers.spread_caches),
             None,
             news.topic_ends,
--- a/src/robinspindle/readings.py
+++ b/src/robinspindle/readings.py
@@ -112,8 +112,8 @@
         counts.labels("read").inc(plan.uncached_tokens)
         counts.labels("cached").inc(prompt.tokens - plan.uncached_tokens)
         told = [(part.id, part.tokens) for part in prompt.parts]
-        work_ms = round(plan.prefill_s * 1000)
-        placement = Placement(target.announced.lifetime, told, work_ms, plan.level)
+        prefill_ms = round(plan.prefill_s * 1000)
+        placement = Placement(target.announced.lifetime, told, prefill_ms, plan.level)
         self.placements.append(placement)
         peers.changed.set()
         return begun
--- a/src/robinspindle/reporting.py
+++ b/src/robinspindle/reporting.py
@@ -247,7 +247,7 @@
             if not usagereports.must_spill(schedule, window, wall_s):
                 continue
             accounts = usage.list_accounts(book.ledger, book.name, window)
-            if not accounts or usage.is_confirmed(book.ledger, book.name, window):
+            if not accounts or usage.is_acknowledged(book.ledger, book.name, window):
                 continue
             key = usagereports.make_spill_key(book.name, window)
             self._spilled.add(window)
--- a/src/robinspindle/usagebook.py
+++ b/src/robinspindle/usagebook.py
@@ -111,13 +111,13 @@
     def _read_own(self) -> float:
         return self.wall() - self.clock()
 
-    def list_unconfirmed(
+    def list_unacknowledged(
         self, peer: str, started: float, number: int, left_out: set[str]
     ) -> list[Account]:
         """List the counts that a peer has not confirmed."""
         if self.schedule is None:
             return []
-        return usage.list_unconfirmed(self.ledger, peer, started, number, left_out)
+        return usage.list_unacknowledged(self.ledger, peer, started, number, left_out)
 
     def take(self, accounts: Iterable[Account]) -> None:
         """Take in what a peer tells."""
--- a/tests/core/test_aggregation.py
+++ b/tests/core/test_aggregation.py
@@ -2,13 +2,18 @@
 from hypothesis import strategies as st
 
 from robinspindle.core.aggregation import aggregate, drop_sent, merge_unsent, subtract
-from robinspindle.core.peerdigests import Digest, Load, Placement, PrefillStatistics
+from robinspindle.core.peerdigests import (
+    Digest,
+    Placement,
+    PrefillStatistics,
+    TargetLoad,
+)
 from robinspindle.core.prefillmodel import FitSums
 
 counts = st.integers(0, 50)
 loads = st.lists(
     st.builds(
-        Load,
+        TargetLoad,
         st.sampled_from(["e1", "e2", "e3"]),
         counts,
         st.lists(counts, min_size=6, max_size=6),
@@ -26,7 +31,7 @@
 def list_loads(digest):
     """Return the load of each engine in a digest, without its age and without zeros."""
     found = {
-        load.lifetime: (load.in_flight, tuple(load.work_ms), load.long_answers)
+        load.lifetime: (load.in_flight, tuple(load.backlog_ms), load.long_answers)
         for load in digest.loads
     }
     return {
@@ -73,13 +78,16 @@
 
 def test_state_not_forwarded_yet_is_kept_and_sent_once():
     first = make(
-        "a", [Load("e1", 1, [0] * 6)], [Placement("e1", [])], silent_targets=["e9"]
+        "a",
+        [TargetLoad("e1", 1, [0] * 6)],
+        [Placement("e1", [])],
+        timed_out_targets=["e9"],
     )
-    second = make("a", [], [Placement("e2", [])], silent_targets=["e8"])
+    second = make("a", [], [Placement("e2", [])], timed_out_targets=["e8"])
     merged = merge_unsent(merge_unsent(None, first), second)
     assert merged.loads == []
     assert [p.lifetime for p in merged.placements] == ["e1", "e2"]
-    assert merged.silent_targets == ["e8", "e9"]
+    assert merged.timed_out_targets == ["e8", "e9"]
     assert drop_sent(merged).placements == []
     restarted = Digest("a", 2.0, 1, [], [])
     assert merge_unsent(merged, restarted) is restarted
--- a/tests/core/test_peerdigests.py
+++ b/tests/core/test_peerdigests.py
@@ -2,8 +2,8 @@
 from robinspindle.core.peerdigests import (
     PEER_TIMEOUT_S,
     Digest,
-    Load,
     Placement,
+    TargetLoad,
     apply_digest,
     is_cache_sender,
     remove_timed_out_peers,
@@ -20,10 +20,13 @@
     engines = {"e1": make_engine(True, 1000)}
     peers = {}
     assert apply_digest(
-        peers, make(2, loads=[Load("e1", 1, WORK, 1)]), 0.0, engines.get
+        peers, make(2, loads=[TargetLoad("e1", 1, WORK, 1)]), 0.0, engines.get
     )
     assert not apply_digest(
-        peers, make(1, loads=[Load("e1", 9, [0, 900, 0, 0, 0, 0])]), 0.0, engines.get
+        peers,
+        make(1, loads=[TargetLoad("e1", 9, [0, 900, 0, 0, 0, 0])]),
+        0.0,
+        engines.get,
     )
     engine = engines["e1"]
     assert (engine.backlog_s, engine.others_in_flight, engine.long_answers) == (
@@ -38,7 +41,7 @@
 def test_restarted_peer_starts_from_nothing():
     engines = {"e1": make_engine(True, 1000)}
     peers = {}
-    apply_digest(peers, make(900, loads=[Load("e1", 1, WORK)]), 0.0, engines.get)
+    apply_digest(peers, make(900, loads=[TargetLoad("e1", 1, WORK)]), 0.0, engines.get)
     assert apply_digest(peers, make(1, started=2.0), 0.1, engines.get)
     assert engines["e1"].backlog_s == 0
 
@@ -54,7 +57,7 @@
 def test_timed_out_peer_has_nothing_in_flight():
     engines = {"e1": make_engine(True, 1000)}
     peers = {}
-    apply_digest(peers, make(loads=[Load("e1", 1, WORK)]), 0.0, engines.get)
+    apply_digest(peers, make(loads=[TargetLoad("e1", 1, WORK)]), 0.0, engines.get)
     assert remove_timed_out_peers(peers, PEER_TIMEOUT_S, engines.get) == []
     assert remove_timed_out_peers(peers, PEER_TIMEOUT_S + 0.1, engines.get) == ["g2"]
     assert engines["e1"].backlog_s == 0
--- a/tests/core/test_peervalidation.py
+++ b/tests/core/test_peervalidation.py
@@ -5,9 +5,9 @@
 from robinspindle.core.peerdigests import (
     Cache,
     Digest,
-    Load,
     Placement,
     PrefillStatistics,
+    TargetLoad,
 )
 from robinspindle.core.peervalidation import find_fault
 from robinspindle.core.prefillmodel import FitSums
@@ -16,7 +16,7 @@
     "g2",
     1.0,
     1,
-    [Load("e1", 1, [0] * 6)],
+    [TargetLoad("e1", 1, [0] * 6)],
     [Placement("e1", [("aa", 5)], 10)],
     {"lm": 0.5},
     prefill_statistics=[
@@ -44,9 +44,9 @@
     [
         {"number": -1},
         {"started": math.nan},
-        {"loads": [Load("e1", 1, [0] * 5)]},
-        {"loads": [Load("e1", -1, [0] * 6)]},
-        {"loads": [Load("e1", 1, [0, 1 << 40, 0, 0, 0, 0])]},
+        {"loads": [TargetLoad("e1", 1, [0] * 5)]},
+        {"loads": [TargetLoad("e1", -1, [0] * 6)]},
+        {"loads": [TargetLoad("e1", 1, [0, 1 << 40, 0, 0, 0, 0])]},
         {"placements": [Placement("e1", [("aa", -5)])]},
         {"placements": [Placement("e1", [], 0, 6)]},
         {"prefill_loads": {"lm": math.inf}},
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -27,24 +27,24 @@
 def test_only_unconfirmed_counts_are_sent_again():
     ledger = Ledger()
     count(ledger, "red")
-    first = usage.list_unconfirmed(ledger, "b", 1.0, 10, set())
+    first = usage.list_unacknowledged(ledger, "b", 1.0, 10, set())
     count(ledger, "blue")
-    usage.note_confirmed(ledger, "b", 1.0, 10)
-    second = usage.list_unconfirmed(ledger, "b", 1.0, 11, set())
+    usage.note_received(ledger, "b", 1.0, 10)
+    second = usage.list_unacknowledged(ledger, "b", 1.0, 11, set())
     assert [a.counts for a in first] == [{"red": 1}]
     assert [a.counts for a in second] == [{"blue": 1}]
-    assert not usage.is_confirmed(ledger, "a", 7)
-    usage.note_confirmed(ledger, "b", 1.0, 11)
-    assert usage.is_confirmed(ledger, "a", 7)
+    assert not usage.is_acknowledged(ledger, "a", 7)
+    usage.note_received(ledger, "b", 1.0, 11)
+    assert usage.is_acknowledged(ledger, "a", 7)
 
 
 def test_restarted_neighbour_is_sent_all_counts():
     ledger = Ledger()
     count(ledger, "red")
-    usage.list_unconfirmed(ledger, "b", 1.0, 10, set())
-    usage.note_confirmed(ledger, "b", 1.0, 10)
-    assert not usage.list_unconfirmed(ledger, "b", 1.0, 11, set())
-    assert usage.list_unconfirmed(ledger, "b", 2.0, 12, set())
+    usage.list_unacknowledged(ledger, "b", 1.0, 10, set())
+    usage.note_received(ledger, "b", 1.0, 10)
+    assert not usage.list_unacknowledged(ledger, "b", 1.0, 11, set())
+    assert usage.list_unacknowledged(ledger, "b", 2.0, 12, set())
 
 
 def test_many_counts_are_sent_in_several_datagrams():
@@ -53,10 +53,10 @@
         count(ledger, f"w{number}")
     received = Ledger()
     for number in range(3):
-        sent = usage.list_unconfirmed(ledger, "b", 1.0, number, set())
+        sent = usage.list_unacknowledged(ledger, "b", 1.0, number, set())
         assert sum(len(a.counts) for a in sent) <= usage.MAX_COUNTS_PER_DATAGRAM
         usage.merge_accounts(received, sent)
-        usage.note_confirmed(ledger, "b", 1.0, number)
+        usage.note_received(ledger, "b", 1.0, number)
     assert usage.sum_by_workspace(received, 7) == usage.sum_by_workspace(ledger, 7)
 
 
@@ -86,12 +86,12 @@
             count(ledgers[sender], workspace, gateway=f"g{sender}")
         for receiver in {0, 1, 2} - {sender}:
             number += 1
-            sent = usage.list_unconfirmed(
+            sent = usage.list_unacknowledged(
                 ledgers[sender], f"g{receiver}", 1.0, number, set()
             )
             if not is_lost:
                 usage.merge_accounts(ledgers[receiver], sent)
-                usage.note_confirmed(ledgers[sender], f"g{receiver}", 1.0, number)
+                usage.note_received(ledgers[sender], f"g{receiver}", 1.0, number)
     totals = [usage.sum_by_workspace(ledger, 7) for ledger in ledgers]
     assert totals[0] == totals[1] == totals[2]
     assert sum(totals[0].values()) == sum(1 for _, workspace, _ in steps if workspace)
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from robinspindle import stopping
-from robinspindle.core.peerdigests import Datagram, Digest, Load, Placement
+from robinspindle.core.peerdigests import Datagram, Digest, Placement, TargetLoad
 from robinspindle.exceptions import Finding, InvalidDocumentError
 from robinspindle.peerlink import encode
 from standins.replica import Replica
@@ -183,7 +183,7 @@
                 "gateway-2",
                 1.0,
                 1,
-                [Load("p1", 2, [0, 50, 0, 0, 0, 0], 1)],
+                [TargetLoad("p1", 2, [0, 50, 0, 0, 0, 0], 1)],
                 [Placement("p1", [("aa", 4000)], 40), Placement("unknown", [])],
             )
             sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -63,7 +63,7 @@
     engine = fleet.find_engine_of("p1")
     fleet.find_engine_of("d1")
     engine.own_backlog_s[1] = 0.7
-    assert [(load.lifetime, load.work_ms) for load in fleet.list_loads(0.0)] == [
+    assert [(load.lifetime, load.backlog_ms) for load in fleet.list_loads(0.0)] == [
         ("p1", [0, 700, 0, 0, 0, 0])
     ]
 
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -239,7 +239,7 @@
     world, other = World(), World(is_keeper=False)
     for each in (world, other):
         quarantine_it(each)
-        each.now += quarantine.FIRST_TRIAL_S + 1
+        each.now += quarantine.FIRST_TRIAL_DELAY_S + 1
     assert other.guard.find_refusal(name()) is not None
     tried = name()
     assert world.guard.find_refusal(tried) is None
@@ -251,7 +251,7 @@
     async def play():
         world = World()
         quarantine_it(world)
-        world.now += quarantine.FIRST_TRIAL_S + 1
+        world.now += quarantine.FIRST_TRIAL_DELAY_S + 1
         named = name()
         assert world.guard.find_refusal(named) is None
         target = world.directory.targets["i4"]
--- a/tests/test_peerlink.py
+++ b/tests/test_peerlink.py
@@ -8,9 +8,9 @@
     RELAY_TIMEOUT_S,
     Datagram,
     Digest,
-    Load,
     PeerView,
     Placement,
+    TargetLoad,
 )
 from robinspindle.core.prefillmodel import PrefillSample, estimate_seconds, note_sample
 from robinspindle.core.relays import RELAY_SILENCE_TIMEOUT_S, Member
@@ -122,13 +122,14 @@
                 if host not in self.cut:
                     number = int(host.rsplit(".")[-1])
                     work = (loads or {}).get(number, 0)
-                    gateway.tell(loads=[Load("e1", 1, [0, work, 0, 0, 0, 0])])
+                    gateway.tell(loads=[TargetLoad("e1", 1, [0, work, 0, 0, 0, 0])])
             self.now += STEP_S
 
 
 def test_a_datagram_comes_back_as_it_was_and_stays_small():
     loads = [
-        Load(f"i-{number:010x}", 12, [0, 14, 120, 0, 0, 30], 3) for number in range(6)
+        TargetLoad(f"i-{number:010x}", 12, [0, 14, 120, 0, 0, 30], 3)
+        for number in range(6)
     ]
     parts = [("5c1e07a2", 2520), ("91bd3f06", 3780), ("e4402b7d", 2890)]
     digest = Digest(
@@ -214,9 +215,9 @@
 def test_strangers_and_unsound_digests_are_counted_and_change_nothing():
     network = Network(4)
     gateway = network[0]
-    work = [Load("e1", 1, [0, 50, 0, 0, 0, 0])]
+    work = [TargetLoad("e1", 1, [0, 50, 0, 0, 0, 0])]
     good = Digest("g2", 1.0, 1, work, [])
-    bad = Digest("g2", 1.0, 2, [Load("e1", 1, [0])], [])
+    bad = Digest("g2", 1.0, 2, [TargetLoad("e1", 1, [0])], [])
     receive = gateway.link.datagram_received
     receive(encode(Datagram("g9", [good])), ("10.0.0.9", 7000))
     receive(encode(Datagram("g2", [good])), ("10.0.0.9", 7000))
@@ -234,7 +235,9 @@
     gateway = network[0]
 
     def receive(started, number, work):
-        told = Digest("g2", started, number, [Load("e1", 1, [0, work, 0, 0, 0, 0])], [])
+        told = Digest(
+            "g2", started, number, [TargetLoad("e1", 1, [0, work, 0, 0, 0, 0])], []
+        )
         gateway.link.datagram_received(
             encode(Datagram("g2", [told])), ("10.0.0.2", 7000)
         )
