--- a/src/robinspindle/core/aggregation.py
+++ b/src/robinspindle/core/aggregation.py
@@ -174,7 +174,10 @@
 
 
 def _find_ends(digests: list[Digest]) -> dict[str, int]:
-    """Find how far the gateways that know the newest store era read each topic."""
+    """Find the highest end of each topic, from gateways that know the newest store era.
+
+    Offsets of an earlier era are not comparable.
+    """
     ends: dict[str, int] = {}
     newest = max(digest.era for digest in digests)
     for digest in digests:
--- a/src/robinspindle/core/crashes.py
+++ b/src/robinspindle/core/crashes.py
@@ -3,8 +3,8 @@
 A request may crash each target that runs it. Up to a hundred other requests run on a
 target when it crashes, so a single crash is weak evidence. This module keeps which
 requests were running at each crash and finds the probable causes: a request that was
-running at three or more crashes, succeeded nowhere, and for which so many coincidences
-would be very improbable.
+running at three or more crashes, succeeded nowhere, and would very improbably have
+been running at all of them by coincidence.
 """
 
 import math
@@ -24,13 +24,14 @@
 retried on the same targets: one more crash shows which of the two is the cause."""
 
 MAX_COINCIDENCE_PROBABILITY = 1e-3
-"""A request is taken as the cause if an innocent one would have been running at its
-crashes with a lower probability than this. If each target crashes every 4 s, 1 in 8,000
-innocent callers is rejected (`tests/core/test_crashes.py`)."""
+"""A request is taken as the cause if the probability that an innocent one would have
+been running at the same crashes is at most this. If each target crashes every 4 s, 1 in
+8,000 innocent callers is rejected (`tests/core/test_crashes.py`)."""
 
 EXPLAINED_CRASH_PROBABILITY = 0.3
-"""Probability that an innocent request is running at a crash with another known cause;
-not 1, as two requests that crash targets may run on the same target."""
+"""Assumed probability that an innocent request is running at a crash that has another
+known cause; less than 1, as two requests that crash targets may run on the same
+target."""
 
 MIN_RUN_S = 0.05
 """Minimum run time that is assumed for a request at a crash, seconds: a request that is
@@ -43,12 +44,12 @@
 
 CRASH_RATE_SPAN_S = 30.0
 """Time before and after a crash in which the crashes are counted to estimate the crash
-rate, seconds: several times as long as a series of crashes takes to become visible."""
+rate, seconds: several times as long as a series of crashes takes to be noticed."""
 
 CRASH_RETENTION_S = 3600.0
 MAX_CRASHES = 256
-"""How long a crash is kept, seconds, and how many are kept. This is long enough to find
-a cause that is requested only once in 20 minutes."""
+"""How long a crash is kept, seconds, and the maximum number of crashes that are kept.
+This is long enough to find a cause that is requested only once in 20 minutes."""
 
 MAX_RUNS = 128
 MAX_REQUESTS = 1024
@@ -58,9 +59,9 @@
 
 SUCCESS_RETENTION_S = 60.0
 MAX_SUCCESSES = 1024
-"""How long a success clears a request, seconds, and how many successes are kept. A
-request that many callers send is running somewhere whenever a target crashes, and
-succeeds on another target within seconds."""
+"""How long a success clears a request, seconds, and the maximum number of successes
+that are kept. A request that many callers send is running somewhere whenever a target
+crashes, and succeeds on another target within seconds."""
 
 
 @dataclass
@@ -214,10 +215,10 @@
     """Find the probability that an innocent request runs at the same crashes, 0 to 1.
 
     A long run coincides with a crash more often than a short one, and more often where
-    targets crash frequently. The usual run time counts instead of the run time until
-    the crash: if each target crashes every 4 s, the time until the crash made 119 of
-    461 innocent requests with three crashes probable causes, the usual run time 5
-    (`tests/core/test_crashes.py`).
+    targets crash frequently. The calculation uses the usual run time rather than the
+    run time until the crash. If each target crashes every 4 s, 119 of 461 innocent
+    requests with three crashes became probable causes with the run time until the
+    crash, and 5 with the usual run time (`tests/core/test_crashes.py`).
 
     Args:
         evidence: The known crashes.
--- a/src/robinspindle/core/crashupdates.py
+++ b/src/robinspindle/core/crashupdates.py
@@ -10,8 +10,9 @@
 from robinspindle.core.retransmission import Retransmissions
 
 MAX_RUNS_PER_DATAGRAM = 512
-"""Maximum number of requests with a crash in one datagram: 14 KB of its maximum of 64
-KB. All requests of four engines with 128 answers each that crash at once fit in one."""
+"""Maximum number of requests that were running at crashes, over all crashes in one
+datagram: 14 KB of its maximum of 64 KB. This is enough for four engines that crash at
+once with 128 answers each."""
 
 MAX_RUN_MS = 3_600_000
 """Maximum run time of a request, milliseconds: one hour."""
@@ -119,8 +120,8 @@
 def merge_updates(first: RequestUpdates, second: RequestUpdates) -> RequestUpdates:
     """Merge the updates of two senders, up to what a datagram may contain.
 
-    Updates of several senders on the same crash or request become one: of 300 gateways,
-    62 sent an update on one request.
+    Updates of several senders on the same crash or request become one, as many
+    gateways may send the same: of 300 gateways, 62 sent an update on one request.
     """
     return RequestUpdates(
         _merge_crashes(first.crashes + second.crashes),
--- a/src/robinspindle/core/fingerprints.py
+++ b/src/robinspindle/core/fingerprints.py
@@ -1,10 +1,12 @@
 """Fingerprints of requests, to recognize a request when it is sent again.
 
-Each attempt of a caller has its own id. The host, the path with its query, the caller's
-key and the body stay the same. The description of a prompt is left out, as it contains
-nothing that the body doesn't. A fingerprint starts with a hash of all but the body, the
-head hash. Hashing a body of 100 kB takes 0.3 ms while other requests are processed, so
-it is done only if the head hash is known already.
+Each attempt of a caller has its own id. The method, the host, the path with its query,
+the caller's credentials or workspace, and the body stay the same. The caller's
+description of a prompt is left out, as it contains nothing that the body doesn't.
+
+A fingerprint starts with the head hash: a hash of all of these except the body. Hashing
+a body of 100 kB takes 0.3 ms while other requests are processed, so it is done only if
+the head hash is known already.
 """
 
 import hashlib
@@ -18,9 +20,9 @@
 
 HEAD_HASH_BYTES = 8
 BODY_HASH_BYTES = 16
-"""Lengths of the two hashes, bytes. Two of 10,000 head hashes are equal by chance once
-in 4 * 10^11 cases, which costs hashing one body. Nobody can construct a second body
-with the same hash."""
+"""Lengths of the two hashes, bytes. Among 10,000 head hashes, two are equal by chance
+once in 4 * 10^11 cases, which only costs hashing one body in vain. A second body with
+the same hash can't be constructed."""
 
 FINGERPRINT_BYTES = HEAD_HASH_BYTES + BODY_HASH_BYTES
 
--- a/src/robinspindle/core/freshness.py
+++ b/src/robinspindle/core/freshness.py
@@ -4,11 +4,13 @@
 that is partitioned from the rest. A gateway therefore serves requests with a key only
 while it holds a freshness lease: it knows that no newer configuration was in force at
 some moment that is less than the promised time before the request came. That moment is
-when a call to the store was *sent*, as the answer may have been delayed anywhere. A
-peer forwards its own moment as an age, together with the number of the newest datagram
-that it received from this gateway. The peer sent the age after that datagram was sent,
-so the age counts from then, and delays in the network or in a buffer can only make it
-older. All times are of one clock that counts suspension.
+when a call to the store was *sent*, as its response may have been delayed anywhere.
+
+A peer sends its own moment as an age, together with the number of the newest datagram
+that it received from this gateway. The peer computed the age after that datagram was
+sent, so this gateway subtracts the age from the time at which it sent the datagram.
+Delays in the network or in a buffer can therefore only make the result older. All times
+are of one clock that counts suspension.
 """
 
 import math
@@ -18,22 +20,24 @@
 """Fraction of the promised time that is not used, as the clocks of two VMs drift."""
 
 WAIT_SHARE = 0.2
-"""Fraction of the promised time for which the store holds a poll open. Its answer is
-true as of when the poll was sent: between two answers the age grows to twice this."""
+"""Fraction of the promised time for which the store holds a poll open. The response is
+true as of when the poll was sent, so the age grows to twice this time between two
+responses."""
 
 RENEW_SHARE = 0.6
 """Fraction of the promised time after which the store is asked ahead of schedule: more
-than the age reaches with polls and peers, and early enough that one call without an
-answer can still be repeated."""
+than the age reaches in normal operation, while polls and peers renew it, and early
+enough to retry one call that gets no response."""
 
 PEERS_RENEW_S = 1.0
-"""A gateway whose freshness lease a peer renewed within this time relies on its peers,
-seconds: the time of five datagrams."""
+"""A gateway relies on its peers if one of them renewed its freshness lease within this
+time, seconds: the time in which a peer sends five datagrams."""
 
 DENY_SHARE = 0.8
-"""Fraction of the time in which a configuration must be in force. While its
-configuration is not older than this, a gateway calls keys that are not in it unknown.
-When it is older, the gateway answers that it can't tell."""
+"""Fraction of the time within which a published configuration must be in force. A
+gateway rejects keys that are not in its configuration as unknown only while the
+configuration is not older than this. Otherwise it responds that it can't tell, as the
+key may be new."""
 
 
 @dataclass
@@ -43,7 +47,8 @@
     Attributes:
         limit_s: The promised time within which a revoked key stops working, seconds;
             None if this is not promised for partitioned gateways.
-        apply_s: The time within which a configuration is in force, seconds.
+        apply_s: The time within which a published configuration must be in force,
+            seconds.
         has_keys: Whether the configuration in force requires keys for requests.
         version: Its version; 0 for none.
         newest_at: When it was last known to be the newest, monotonic seconds.
@@ -63,7 +68,7 @@
 
 
 def note_store_read(freshness: Freshness, sent_at: float) -> None:
-    """Note that the store held no newer configuration.
+    """Note that the store held no newer configuration when it was asked.
 
     This is ignored if a peer has sent a newer version, as a store that was restored
     from a backup may hold less than a peer has read.
@@ -99,9 +104,9 @@
 def may_serve(freshness: Freshness, received_at: float) -> bool:
     """Whether a request with a known key may run.
 
-    A configuration that revoked the key since then came into force after `newest_at`.
-    The request therefore was sent before the promised time after that had passed,
-    whenever it runs.
+    If the key was revoked, the configuration that revoked it came into force after
+    `newest_at`. The request was received less than the promised time after `newest_at`,
+    so the promise is kept whenever the request runs.
 
     Args:
         freshness: What is known.
@@ -114,9 +119,9 @@
 
 
 def may_deny(freshness: Freshness, now: float) -> bool:
-    """Whether a key that this gateway doesn't know may be called unknown.
+    """Whether a key that is not in the configuration may be rejected as unknown.
 
-    Otherwise it may have been issued since, and this gateway may be behind.
+    If not, the configuration may be too old to contain a key that was issued recently.
     """
     if _is_behind(freshness, now):
         return False
--- a/src/robinspindle/core/peerdigests.py
+++ b/src/robinspindle/core/peerdigests.py
@@ -1,8 +1,8 @@
 """Digests that gateways exchange: requests in flight, placements and other state.
 
 A digest contains the whole state of one gateway, or the aggregated state of several, so
-that the next digest makes up for a lost one. Only placements are sent once, as the
-estimate of what a cache holds may be slightly wrong.
+that the next digest makes up for a lost one. Only placements are sent once: a lost one
+makes the estimate of a cache's contents slightly wrong, which is acceptable.
 """
 
 from collections.abc import Callable, Iterable
@@ -24,13 +24,13 @@
 from robinspindle.core.usage import Account
 
 PEER_TIMEOUT_S = 1.5
-"""Time without a datagram after which a peer is assumed to have no requests in flight,
-seconds: seven of the longest intervals between its datagrams."""
+"""Time without a datagram from a peer after which it is assumed to have no requests in
+flight, seconds: seven of the longest intervals between its datagrams."""
 
 RELAY_TIMEOUT_S = 1.0
-"""The same for a relay, seconds: five of its longest intervals. It is shorter because
-the state of its group comes from the next relay after 0.6 s, and would count twice
-until the first relay has timed out."""
+"""The same for a relay, seconds: five of its longest intervals. It is shorter than for
+other peers because the group's next relay takes over after 0.6 s, and the requests of
+the group count twice until the failed relay has timed out."""
 
 MAX_PLACEMENTS = 24
 """Maximum number of placements in one datagram, so that it stays far below 64 KB and
@@ -38,7 +38,8 @@
 
 
 NEVER_HEARD_MS = 1 << 30
-"""Time since the last message of a target that has not sent any yet, milliseconds."""
+"""Value of `TargetLoad.heard_ms_ago` for a target that has sent no message yet,
+milliseconds."""
 
 
 CACHE_SENDERS = 2
@@ -55,7 +56,7 @@
         in_flight: Number of requests.
         backlog_ms: Prefill backlog by priority level, milliseconds.
         long_answers: Number of long answers that are being decoded.
-        heard_ms_ago: Time since the last message of the target, milliseconds.
+        heard_ms_ago: Time since the last message from the target, milliseconds.
     """
 
     lifetime: str
@@ -198,7 +199,7 @@
         digests: The digests.
         echo: Number of the newest digest that the sender received from the receiver;
             None if the sender is not the receiver's relay.
-        facts: Other state of the sender; None if nothing depends on it.
+        facts: Other state of the sender; None if no state needs to be sent.
     """
 
     sender: str
--- a/src/robinspindle/core/peervalidation.py
+++ b/src/robinspindle/core/peervalidation.py
@@ -25,7 +25,8 @@
 current engines accept."""
 
 MAX_BACKLOG_MS = 3_600_000
-"""Maximum prefill backlog of one engine, milliseconds: one hour."""
+"""Maximum prefill backlog of one engine, and prefill time of one prompt, milliseconds:
+one hour."""
 
 MAX_TOKENS = 100_000_000
 """Maximum number of tokens in a prompt part: hundreds of times an engine's memory."""
--- a/src/robinspindle/core/presence.py
+++ b/src/robinspindle/core/presence.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 
 REMEMBERED_S = 15.0
-"""How long an unreachable gateway is remembered, seconds: longer than a network
-partition or a suspension after which it returns with counts that no other gateway
+"""How long an unreachable gateway is remembered, seconds: longer than any network
+partition or suspension after which it may return with counts that no other gateway
 has."""
 
 
@@ -73,7 +73,8 @@
         presences: When they were reachable.
         named: All gateways that should exist. A gateway that has just started remembers
             none, and expects these for the first `REMEMBERED_S` seconds.
-        now: The time of the last call of `note_heard`, monotonic seconds.
+        now: The time that was passed to the last call of `note_heard`, monotonic
+            seconds.
         min_s: How long each must have been reachable without interruption, seconds.
     """
     names = set(presences.known)
--- a/src/robinspindle/core/quarantine.py
+++ b/src/robinspindle/core/quarantine.py
@@ -17,22 +17,22 @@
 from robinspindle.exceptions import BadDocumentError
 
 FIRST_TRIAL_DELAY_S = 300.0
-"""Time in quarantine after which a request may run once, seconds. It doubles with each
-trial. Each trial costs a target if the request is the cause."""
+"""Time in quarantine after which a request may run once as a trial, seconds. It doubles
+with each trial, as each one crashes a target if the request is the cause."""
 
 MAX_TRIALS = 3
-"""Maximum number of trials. With the crashes before them there are six crashes, three
-of them after all gateways knew the entry: as many as the platform allows. After that
-only an operator can release the request."""
+"""Maximum number of trials. With three crashes before the quarantine these make
+six, three of them after all gateways knew the entry: as many as the platform allows.
+After that only an operator can release the request."""
 
 MAX_RETRY_S = 3600.0
-"""Maximum retry delay that a caller is sent, seconds, as no caller keeps a request for
-longer."""
+"""Maximum retry delay that is sent to a caller, seconds: no caller retries a request
+for longer than this."""
 
 MAX_ENTRIES = 256
 """Maximum number of entries that are kept, 0.2 MB: 75 times the most that were ever in
-quarantine at once. The oldest one is removed first, and its request has to crash
-targets again to return."""
+quarantine at once. The oldest one is removed first, and its request is quarantined
+again only after it crashes targets again."""
 
 MAX_NAMED_CRASHES = 8
 """Maximum number of crashes that an entry names as its reason."""
@@ -197,7 +197,10 @@
 
 
 def begin_trial(entry: Entry, now_ms: int) -> Entry:
-    """Make the entry of a request on trial, which other gateways go on rejecting."""
+    """Make the entry of a request on trial.
+
+    It stays quarantined, so that other gateways go on rejecting it.
+    """
     begun = replace(entry, at_ms=now_ms, trials=entry.trials + 1)
     return supersede(entry, begun)
 
@@ -212,15 +215,15 @@
 
 
 def adds_crashes(entry: Entry, lifetimes: set[str]) -> bool:
-    """Whether an entry has room for crashes that it doesn't name yet."""
+    """Whether an entry lacks some of the crashes, and has room for more."""
     has_room = len(entry.lifetimes) < MAX_NAMED_CRASHES
     return has_room and not lifetimes <= set(entry.lifetimes)
 
 
 def supersede(known: Entry | None, entry: Entry) -> Entry:
-    """Make an entry later than the known entry of its request.
+    """Make the time of an entry later than that of the known entry of its request.
 
-    The times of day of VMs differ and may be set back.
+    This is needed as the times of day of VMs differ and may be set back.
 
     Args:
         known: The known entry; None if there is none.
--- a/src/robinspindle/core/relays.py
+++ b/src/robinspindle/core/relays.py
@@ -117,7 +117,8 @@
 def decode_member(name: str, value: bytes) -> Member | None:
     """Decode what a gateway announces of itself; None if it is malformed.
 
-    The address alone is enough, as an earlier release announces nothing else.
+    The zone and the capacity may be missing, as an earlier release announces only its
+    address.
     """
     words = value.decode("utf-8", "replace").split(" ")
     host, _, port = words[0].rpartition(":")
@@ -154,7 +155,10 @@
 
 
 def find_interval(groups: Groups) -> float:
-    """Find the minimum interval between two digests, seconds; the same for all."""
+    """Find the minimum interval between two digests, seconds; the same at all gateways.
+
+    It is chosen for the largest group, whose relay sends the most datagrams.
+    """
     largest = max((len(names) for names in groups.ranked), default=1)
     others = len(groups.ranked) - 1
     return max(MIN_INTERVAL_S, (largest - 1 + others) / RELAY_RATE)
--- a/src/robinspindle/core/usage.py
+++ b/src/robinspindle/core/usage.py
@@ -2,9 +2,9 @@
 
 Each gateway counts only its own requests, and its counts only grow. Counts are sent as
 totals, and the larger total of a count wins. Counts that arrive twice, late or by two
-routes therefore add nothing. Counts that a neighbour has not acknowledged are sent
-again. A neighbour acknowledges by the number of the newest datagram that it received
-from this gateway.
+routes therefore add nothing. A neighbour is a gateway with which this one exchanges
+counts directly. It acknowledges counts by the number of the newest datagram that it
+received from this gateway; counts that it has not acknowledged are sent again.
 """
 
 import math
@@ -16,12 +16,12 @@
 import msgspec
 
 MAX_COUNTS_PER_DATAGRAM = 1024
-"""Maximum number of counts in one datagram: 12 KB where there are many. A relay that
-has just started receives what it needs within a second."""
+"""Maximum number of counts in one datagram: 12 KB if it is full. A relay that has just
+started receives all counts that it needs within a second."""
 
 MAX_REPLACED_CHANGES = 4096
-"""Number of changes, in addition to twice the number of counts, that are kept before
-changes that later ones replaced are removed."""
+"""Changes that later ones replaced are removed once the number of changes exceeds this
+plus twice the number of counts."""
 
 MAX_COUNT = 10**9
 """Maximum number of requests of one workspace in one window; higher ones are
@@ -163,7 +163,8 @@
         last = change
         if ledger.changes.get(count_key) != change:
             continue
-        # The neighbour has lost the counts of its own earlier incarnations.
+        # The neighbour has its own counts, except those of its earlier incarnations,
+        # which it lost when it restarted.
         is_own = count_key.gateway == neighbour
         has_count = (
             count_key.incarnation == make_incarnation(started) if is_own else False
--- a/src/robinspindle/core/usagereports.py
+++ b/src/robinspindle/core/usagereports.py
@@ -7,9 +7,9 @@
 
 The record is also a lease claim. Its author sends reports for less than the lease time
 after it, and another gateway waits for longer than the lease time after it has read the
-record (see `core.authority`). The fencing token stays the same while one gateway
-succeeds itself, so that a call which is executed late never has a lower token than an
-earlier one.
+record (see `core.authority`). The fencing token stays the same while the same gateway
+writes one record after another, so that a call which is executed late never has a lower
+token than an earlier one.
 """
 
 from dataclasses import dataclass, field
@@ -20,8 +20,9 @@
 from robinspindle.core.usage import Account
 
 DECIDE_SHARE = 0.2
-"""Fraction of the allowed lateness after which the counts of a window are decided. By
-then, gateways that changed their relay have sent their counts again."""
+"""Fraction of the allowed lateness that passes between the end of a window and the
+decision on its counts. By then, gateways that changed their relay have sent their
+counts again."""
 
 SPILL_SHARE = 0.12
 """Fraction of it after which a gateway whose counts no neighbour has acknowledged
@@ -31,13 +32,14 @@
 """Fraction of it after which the next gateway in order reports a window."""
 
 TAKEOVER_STEP_SHARE = 0.1
-"""Fraction of it between one gateway in that order and the next."""
+"""Fraction of it by which each further gateway in that order waits longer."""
 
 INCOMPLETE_SHARE = 0.35
-"""Fraction of it for which a window waits for gateways that were reachable recently and
-are not now. They may go on running requests and send their counts when they are back.
-Most unreachable gateways have restarted and send no more counts for the window, and the
-store or the platform may be lost before a late report."""
+"""Fraction of it for which a window's report waits for gateways that were reachable
+recently and are not now. They may still be running requests, and send their counts when
+they are back. The report doesn't wait longer, as most unreachable gateways have
+restarted and send no more counts for the window, and the store or the platform may
+become unavailable before a late report."""
 
 MINORITY_SHARE = 0.85
 """Fraction of it after which a gateway that reaches only a minority of the others
@@ -198,7 +200,7 @@
 def find_report_delay_s(
     schedule: Schedule, place: int, hears_most: bool, hears_all: bool
 ) -> float:
-    """Find how long after the end of a window a gateway reports it, seconds.
+    """Find how long after the end of a window a gateway may report it, seconds.
 
     Args:
         schedule: The promised times.
@@ -218,6 +220,6 @@
 
 
 def must_spill(schedule: Schedule, window: int, wall_s: float) -> bool:
-    """Whether unacknowledged counts of a window must be written to the store now."""
+    """Whether to write unacknowledged counts of a window to the store now."""
     late_s = wall_s - (window + 1) * schedule.window_s
     return SPILL_SHARE * schedule.late_s <= late_s <= schedule.late_s
--- a/tests/core/test_freshness.py
+++ b/tests/core/test_freshness.py
@@ -33,13 +33,13 @@
     assert not may_serve(freshness, 15.0)
 
 
-def test_answer_delayed_by_a_suspension_renews_nothing():
+def test_response_delayed_by_a_suspension_renews_nothing():
     freshness = make(newest_at=10.0)
     note_store_read(freshness, 10.1)
     assert not may_serve(freshness, 20.0)
 
 
-def test_late_answer_does_not_raise_the_age():
+def test_late_response_does_not_raise_the_age():
     freshness = make(newest_at=10.0)
     note_store_read(freshness, 8.0)
     assert freshness.newest_at == 10.0
@@ -101,7 +101,7 @@
 def test_no_gateway_serves_a_revoked_key_too_late(steps):
     """Simulates three gateways with arbitrary delays of reads, datagrams and processes.
 
-    All clocks are correct here. An answer or a datagram contains what was true when it
+    All clocks are correct here. A response or a datagram contains what was true when it
     was sent.
     """
     now, revoked_at, newest = 0.0, None, 1
@@ -127,7 +127,7 @@
 
 
 def _read(freshness, sent_at, delay_s, version):
-    """Read from the store, which may answer at any time during the call."""
+    """Read from the store, which may respond at any time during the call."""
 
     def arrive(at):
         freshness.version = max(freshness.version, version)
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -24,7 +24,7 @@
     assert usage.sum_by_workspace(ledger, 7) == {"red": 4}
 
 
-def test_only_unconfirmed_counts_are_sent_again():
+def test_only_unacknowledged_counts_are_sent_again():
     ledger = Ledger()
     count(ledger, "red")
     first = usage.list_unacknowledged(ledger, "b", 1.0, 10, set())
