--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -4,7 +4,11 @@
 
 from benches.measure import DATA
 from robinspindle.core.coordination import CHECKPOINT_S
-from robinspindle.core.dispatch import HELLO_S, MOST_HELLO_S, PEERS_AT_FULL_RATE
+from robinspindle.core.dispatch import (
+    MAX_HEARTBEAT_S,
+    MIN_HEARTBEAT_S,
+    PEERS_AT_FULL_RATE,
+)
 from robinspindle.tables import format_table
 
 ENTRIES = 420
@@ -36,7 +40,9 @@
     """Control of one entry and one agent, for so many targets of each model."""
     peers = size * MODELS
     entries = peers * ENTRIES / REPLICAS
-    period_s = min(MOST_HELLO_S, HELLO_S * max(1.0, peers / PEERS_AT_FULL_RATE))
+    period_s = min(
+        MAX_HEARTBEAT_S, MIN_HEARTBEAT_S * max(1.0, peers / PEERS_AT_FULL_RATE)
+    )
     rows = []
     for measure, budget in BUDGET.items():
         value = interpolate(slopes["points"]["entry by targets"], measure, peers)
@@ -44,7 +50,7 @@
         rows.append(_judge(f"entry, {peers} targets", measure, value, budget))
     for measure, budget in BUDGET.items():
         # The measured entries greeted at the full rate; these greet less often.
-        rate = 1.0 if measure == "memory_mb" else HELLO_S / period_s
+        rate = 1.0 if measure == "memory_mb" else MIN_HEARTBEAT_S / period_s
         slope, base = slopes["slopes"]["agent by entries"][measure]
         value = base + slope * entries * rate + _count_log(slopes, measure)
         rows.append(_judge(f"agent, {entries:.0f} entries", measure, value, budget))
--- a/benches/slopes.py
+++ b/benches/slopes.py
@@ -32,7 +32,11 @@
     apply_claims,
     encode_claims,
 )
-from robinspindle.core.dispatch import HELLO_S, MOST_HELLO_S, PEERS_AT_FULL_RATE
+from robinspindle.core.dispatch import (
+    MAX_HEARTBEAT_S,
+    MIN_HEARTBEAT_S,
+    PEERS_AT_FULL_RATE,
+)
 from robinspindle.core.records import Published, encode_record
 from robinspindle.core.routing import Candidate, estimate_answer, make_estimate_policy
 from robinspindle.core.state import State, encode_state
@@ -153,7 +157,9 @@
     time.sleep(WINDOW_S)
     used = read_cpu(process.pid) - before
     share = used / (time.monotonic() - begun)
-    period = min(MOST_HELLO_S, HELLO_S * max(1.0, peers / PEERS_AT_FULL_RATE))
+    period = min(
+        MAX_HEARTBEAT_S, MIN_HEARTBEAT_S * max(1.0, peers / PEERS_AT_FULL_RATE)
+    )
     hello = len(encode_message(Hello(offset=10**6, prefix_version=9)))
     report = len(encode_message(_make_report(0)))
     return {
@@ -281,7 +287,7 @@
             dealer.send(hello)
             while dealer.poll(0):
                 decode_message(dealer.recv())
-        time.sleep(max(0.0, HELLO_S - (time.monotonic() - begun)))
+        time.sleep(max(0.0, MIN_HEARTBEAT_S - (time.monotonic() - begun)))
 
 
 def draw_slopes(points: dict) -> None:
--- a/fuzz/world.py
+++ b/fuzz/world.py
@@ -311,14 +311,16 @@
             batch = apply_claims(process.entry.claims, offset, data)
             keys.update(record.key for record in batch)
         process.claims_next = following
-        self._carry_out(process, dispatch.fold_claims(process.entry, self.now, keys))
+        self._carry_out(
+            process, dispatch.apply_claim_changes(process.entry, self.now, keys)
+        )
 
     def _fold(self, process: Process) -> None:
         state = process.stream.state
         if process.entry is not None:
-            dispatch.fold_state(process.entry, state)
+            dispatch.apply_state(process.entry, state)
         else:
-            effects = agentcontrol.fold_state(process.host, self.now, state)
+            effects = agentcontrol.apply_state(process.host, self.now, state)
             self._carry_out(process, effects)
 
     def _write_claims(self, process: Process) -> None:
--- a/src/robinspindle/agent.py
+++ b/src/robinspindle/agent.py
@@ -159,7 +159,7 @@
             return
         if isinstance(message, Records):
             self.stream.take_records(message)
-            self._carry_out(agentcontrol.fold_state(self.host, now, self.stream.state))
+            self._carry_out(agentcontrol.apply_state(self.host, now, self.stream.state))
             return
         if isinstance(message, Hello):
             own = self.stream.state.offset
@@ -187,7 +187,7 @@
             )
         elif isinstance(item, RecordsRead):
             self.stream.take_read(item)
-            self._carry_out(agentcontrol.fold_state(self.host, now, self.stream.state))
+            self._carry_out(agentcontrol.apply_state(self.host, now, self.stream.state))
         elif isinstance(item, EngineAsked):
             self._take_engine_answer(now, item)
         elif isinstance(item, OrderAnswered):
--- a/src/robinspindle/core/agentcontrol.py
+++ b/src/robinspindle/core/agentcontrol.py
@@ -72,7 +72,7 @@
     return []
 
 
-def fold_state(agent: AgentState, now: float, state: State) -> list[Effect]:
+def apply_state(agent: AgentState, now: float, state: State) -> list[Effect]:
     """Apply a new replicated state from the control stream."""
     agent.state = state
     return tick(agent, now)
--- a/src/robinspindle/core/dispatch.py
+++ b/src/robinspindle/core/dispatch.py
@@ -43,7 +43,7 @@
     resolve_key,
     send_attach,
 )
-from robinspindle.core.pauses import LEAST_LATE_S
+from robinspindle.core.pauses import MIN_LATE_S
 from robinspindle.core.placement import list_peers, place
 from robinspindle.core.state import State
 from robinspindle.messages import (
@@ -63,10 +63,10 @@
 TICK_S = 0.05
 """Interval between calls of `tick`, seconds."""
 
-HELLO_S = 0.25
+MIN_HEARTBEAT_S = 0.25
 """Shortest interval between heartbeats to one target, seconds."""
 
-MOST_HELLO_S = 1.2
+MAX_HEARTBEAT_S = 1.2
 """Longest interval between heartbeats to one target, seconds. It is short enough that
 a healthy target doesn't time out."""
 
@@ -144,7 +144,7 @@
     return effects + _HANDLERS[type(message)](entry, active, now, message)
 
 
-def fold_state(entry: Dispatcher, state: State) -> None:
+def apply_state(entry: Dispatcher, state: State) -> None:
     """Apply a new replicated state from the control stream."""
     entry.state = state
     configuration = entry.configuration
@@ -159,7 +159,7 @@
         del entry.evidence[name]
 
 
-def fold_claims(entry: Dispatcher, now: float, keys: set[str]) -> list[Effect]:
+def apply_claim_changes(entry: Dispatcher, now: float, keys: set[str]) -> list[Effect]:
     """Handle possible changes in the claims of these keys."""
     _compensate_pause(entry, now)
     effects: list[Effect] = []
@@ -203,7 +203,7 @@
     are not extended, because the callers have waited during the pause.
     """
     previous, entry.last_decision_at = entry.last_decision_at, now
-    if previous is None or now - previous < TICK_S + LEAST_LATE_S:
+    if previous is None or now - previous < TICK_S + MIN_LATE_S:
         return
     paused_s = now - previous
     for evidence in entry.evidence.values():
@@ -221,12 +221,14 @@
     that a healthy target doesn't time out.
     """
     peers = list_peers(entry)
-    idle_s = HELLO_S * max(1.0, len(peers) / PEERS_AT_FULL_RATE)
+    idle_s = MIN_HEARTBEAT_S * max(1.0, len(peers) / PEERS_AT_FULL_RATE)
     effects: list[Effect] = []
     for name in peers:
         evidence = entry.evidence.setdefault(name, membership.Evidence())
         period_s = (
-            HELLO_S if entry.active_by_target.get(name) else min(idle_s, MOST_HELLO_S)
+            MIN_HEARTBEAT_S
+            if entry.active_by_target.get(name)
+            else min(idle_s, MAX_HEARTBEAT_S)
         )
         if now - evidence.hello_sent_at < period_s:
             continue
--- a/src/robinspindle/core/pauses.py
+++ b/src/robinspindle/core/pauses.py
@@ -14,7 +14,7 @@
 are read one after the other, and a VM with a third of a core may be delayed between the
 two reads."""
 
-LEAST_LATE_S = 0.5
+MIN_LATE_S = 0.5
 """Least delay of a wakeup that counts as a pause, seconds. Timers of busy small VMs
 fire up to 0.1 s late; targets count as silent after 0.6 s."""
 
@@ -66,4 +66,4 @@
     if timeout_s is None:
         return None
     late_s = running_s - max(0.0, timeout_s)
-    return Pause(late_s, False) if late_s >= LEAST_LATE_S else None
+    return Pause(late_s, False) if late_s >= MIN_LATE_S else None
--- a/src/robinspindle/core/retrywindows.py
+++ b/src/robinspindle/core/retrywindows.py
@@ -33,13 +33,13 @@
 
     Attributes:
         ratio: Retries allowed per request.
-        fixed: This gateway's share of the additional retries allowed per window.
+        fixed_retries: Retries allowed per window in addition, this gateway's share.
         window_s: Length of the sliding window, seconds.
         services: Requests and retries by service.
     """
 
     ratio: float = 0.0
-    fixed: float = 0.0
+    fixed_retries: float = 0.0
     window_s: float = 0.0
     services: dict[str, ServiceWindow] = field(default_factory=dict)
 
@@ -52,7 +52,7 @@
 def take_retry(budget: WindowedRetryBudget, now: float, service: str) -> bool:
     """Take one retry from a service's budget, and return whether it is allowed."""
     window = _get_window(budget, now, service)
-    allowed = RATIO_MARGIN * budget.ratio * len(window.requests) + budget.fixed
+    allowed = RATIO_MARGIN * budget.ratio * len(window.requests) + budget.fixed_retries
     if len(window.retries) + 1 > allowed:
         return False
     window.retries.append(now)
--- a/src/robinspindle/entry.py
+++ b/src/robinspindle/entry.py
@@ -290,11 +290,11 @@
             batch = apply_claims(self.dispatcher.claims, offset, data)
             keys.update(record.key for record in batch)
         self._claims_are_read |= read.first + len(read.records) >= read.next
-        self._carry_out(dispatch.fold_claims(self.dispatcher, now, keys))
+        self._carry_out(dispatch.apply_claim_changes(self.dispatcher, now, keys))
 
     def _note_state(self) -> None:
         before = self.dispatcher.state
-        dispatch.fold_state(self.dispatcher, self.state)
+        dispatch.apply_state(self.dispatcher, self.state)
         self.metrics.offset.set(self.state.offset)
         if before.targets is not self.state.targets:
             self._connect()
--- a/src/robinspindle/gateway.py
+++ b/src/robinspindle/gateway.py
@@ -459,7 +459,7 @@
         self.freshness.limit_s = pledges.revoke_s
         self.freshness.apply_s = pledges.configuration_s
         self.budget.ratio = pledges.repeat_ratio
-        self.budget.fixed = pledges.repeat_slack / BUDGET_SHARES
+        self.budget.fixed_retries = pledges.repeat_slack / BUDGET_SHARES
         self.budget.window_s = pledges.repeat_window_s
         self.orderer.authority.lease_s = pledges.lease_s
         self.duties.apply_settings(settings)
--- a/tests/core/test_agentcontrol.py
+++ b/tests/core/test_agentcontrol.py
@@ -35,7 +35,7 @@
     state = apply(state, 1, started)
     agent = AgentState("engine-1", "i1")
     agentcontrol.update_engine_state(agent, 0.0, found, False, "boot")
-    agentcontrol.fold_state(agent, 0.0, state)
+    agentcontrol.apply_state(agent, 0.0, state)
     return agent
 
 
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -43,7 +43,7 @@
         started = AgentStarted(id=name, target=name, incarnation="i", found=found)
         state = apply(state, number, started)
     entry = Dispatcher("entry-1", "a", random.Random(1))
-    dispatch.fold_state(entry, state)
+    dispatch.apply_state(entry, state)
     for name in ("engine-1", "engine-2"):
         dispatch.receive(entry, 0.0, name, Report(target=name, incarnation="i"))
     return entry
