--- a/src/robinspindle/choosing.py
+++ b/src/robinspindle/choosing.py
@@ -113,9 +113,9 @@
             return False
         serves_late = self._means.policy().serves_late
         # Who is refused at once can come back in time; who came back may not again.
-        most_slot_wait_s = math.inf if passage.is_caller_retry else passage.aim_at - now
+        max_slot_wait_s = math.inf if passage.is_caller_retry else passage.aim_at - now
         return prefillplacement.should_refuse(
-            plan, passage.first_due - now, serves_late, most_slot_wait_s
+            plan, passage.first_due - now, serves_late, max_slot_wait_s
         )
 
     def find_host(self, passage: Passage, plan: RequestPlan) -> Target | None:
@@ -193,7 +193,7 @@
             return None
         return RequestPlan(
             target=choose_target(plain, self._means.zone, now, self._rng),
-            reader=None,
+            prefill_target=None,
             uncached_tokens=0,
             prefill_s=0.0,
             wait_s=0.0,
--- a/src/robinspindle/core/estimates.py
+++ b/src/robinspindle/core/estimates.py
@@ -47,7 +47,7 @@
         fetch_s: Duration of the cache transfer, seconds.
         penalty_s: Additional cost of the effect on caches, seconds.
         missing_share: Share of the shared parts that it has to prefill again.
-        holder: The cache source of the transfer; None for no transfer.
+        cache_source: Where the parts are transferred from; None for no transfer.
     """
 
     uncached_tokens: int
@@ -56,7 +56,7 @@
     penalty_s: float
     missing_share: float
     fetch_s: float = 0.0
-    holder: Target | None = None
+    cache_source: Target | None = None
 
 
 @dataclass(frozen=True)
@@ -64,12 +64,12 @@
     """A possible transfer of parts of a prompt from another engine's cache.
 
     Attributes:
-        holder: The cache source: the engine whose cache holds most of the prompt.
+        cache_source: The engine whose cache holds most of the prompt.
         held: Tokens of the prompt in its cache.
         token_transfer_s: Transfer time per token within an availability zone, seconds.
     """
 
-    holder: Pair
+    cache_source: Pair
     held: int
     token_transfer_s: float
 
@@ -105,7 +105,11 @@
     slowness = find_slowness(target, now)
     cached = count_cached(engine, prompt)
     without = _estimate(engine, prompt, cached, slowness)
-    if transfer is None or transfer.holder[0] is target or transfer.held <= cached:
+    if (
+        transfer is None
+        or transfer.cache_source[0] is target
+        or transfer.held <= cached
+    ):
         return without
     with_transfer = _estimate(engine, prompt, cached, slowness, transfer, target)
     return (
@@ -154,7 +158,7 @@
         penalty_s=RECOMPUTE_WEIGHT * missing_s + transfer_weight * copy_s,
         missing_share=missing / max(1, shared),
         fetch_s=fetch_s,
-        holder=transfer.holder[0] if transfer else None,
+        cache_source=transfer.cache_source[0] if transfer else None,
     )
 
 
@@ -162,7 +166,7 @@
     transfer: CacheTransfer, transferred: int, target: Target
 ) -> float:
     """Estimate the time of a transfer to a target, seconds."""
-    is_cross_zone = transfer.holder[0].announced.zone != target.announced.zone
+    is_cross_zone = transfer.cache_source[0].announced.zone != target.announced.zone
     return (
         transferred
         * transfer.token_transfer_s
--- a/src/robinspindle/core/forwarding.py
+++ b/src/robinspindle/core/forwarding.py
@@ -114,9 +114,10 @@
         left_s: How long the target may work on it, seconds.
         priority: 0 is the most urgent, 9 the least.
         prefill_only: Whether the target only prefills the prompt and keeps the result.
-        source: Where the prefilled prompt is fetched from; None to prefill it.
-        holder: Address of an engine from whose cache the target first fetches the parts
-            that it lacks; empty if nothing is fetched.
+        source: Where the KV cache of the whole prompt is fetched from, if another
+            engine has prefilled it; None if the target prefills the prompt.
+        cached_parts_address: Address of an engine from whose cache the target fetches
+            the prompt parts that it lacks before its prefill; empty if it fetches none.
         resume_after: Id of the last event the caller has; None to start from the
             beginning.
     """
@@ -126,7 +127,7 @@
     priority: int
     prefill_only: bool = False
     source: CacheSource | None = None
-    holder: str = ""
+    cached_parts_address: str = ""
     resume_after: str | None = None
 
 
--- a/src/robinspindle/core/prefillplacement.py
+++ b/src/robinspindle/core/prefillplacement.py
@@ -84,9 +84,9 @@
 
     Attributes:
         target: The target that generates the answer.
-        reader: The target that prefills the prompt; None if `target` does it.
-        holder: The target from whose cache the prefilling engine first fetches the
-            parts that it lacks; None if nothing is fetched.
+        prefill_target: The target that prefills the prompt; None if `target` does it.
+        cache_source: The target from whose cache the prefilling engine first fetches
+            the parts that it lacks; None if nothing is fetched.
         uncached_tokens: Tokens that have to be prefilled.
         prefill_s: Estimated time for which the prefill occupies an engine, seconds.
         wait_s: Estimated wait for the prefill of other prompts, seconds.
@@ -94,21 +94,21 @@
         cost_s: Cost by which plans are compared, seconds.
         missing_share: Share of the prompt's shared parts that has to be prefilled
             again.
-        fetch_s: Estimated duration of the fetch from the holder, seconds.
+        fetch_s: Estimated duration of the fetch from `cache_source`, seconds.
         level: Priority level of the prefill.
         has_capacity: Whether the target has capacity for one more long answer.
         slot_wait_s: Estimated wait of a long answer for a slot of the target, seconds.
     """
 
     target: Target
-    reader: Target | None
+    prefill_target: Target | None
     uncached_tokens: int
     prefill_s: float
     wait_s: float
     first_event_s: float
     cost_s: float
     missing_share: float = 0.0
-    holder: Target | None = None
+    cache_source: Target | None = None
     fetch_s: float = 0.0
     level: int = FIRST_RANK_LEVEL
     has_capacity: bool = True
@@ -260,7 +260,7 @@
     plan: RequestPlan,
     timeout_s: float,
     serves_late: bool = True,
-    most_slot_wait_s: float = math.inf,
+    max_slot_wait_s: float = math.inf,
 ) -> bool:
     """Check whether to refuse a request rather than send it.
 
@@ -278,10 +278,10 @@
         plan: The best plan for the request.
         timeout_s: Time until the caller gives up if it receives no event, seconds.
         serves_late: Whether requests that miss their deadline are sent at all.
-        most_slot_wait_s: The longest acceptable wait for a slot of the decode engine,
+        max_slot_wait_s: The longest acceptable wait for a slot of the decode engine,
             seconds.
     """
-    if not plan.has_capacity or plan.slot_wait_s > most_slot_wait_s:
+    if not plan.has_capacity or plan.slot_wait_s > max_slot_wait_s:
         return True
     if plan.level == LATE_LEVEL and not serves_late:
         return True
@@ -417,10 +417,10 @@
     is_late: bool = False,
 ) -> RequestPlan:
     """Plan to prefill a prompt on one engine and to decode its answer on another."""
-    reader, engine = pair
+    prefill_target, engine = pair
     estimate = estimate_prefill(pair, prompt, context.now, transfer)
     handoff_s = context.late_handoff_s if is_late else context.handoff_s
-    delay_s = estimate_target_cost_s(reader, context.zone) + max(
+    delay_s = estimate_target_cost_s(prefill_target, context.zone) + max(
         handoff_s, context.slot_wait_s
     )
     # The decode engine prefills other prompts meanwhile, but starts a fetched one
@@ -430,7 +430,7 @@
     )
     return _make_plan(
         decode_pair[0],
-        reader,
+        prefill_target,
         engine,
         estimate,
         delay_s,
@@ -447,7 +447,7 @@
 
 def _make_plan(
     target: Target,
-    reader: Target | None,
+    prefill_target: Target | None,
     engine: Engine,
     estimate: PrefillEstimate,
     delay_s: float,
@@ -459,7 +459,7 @@
 
     Args:
         target: The target that generates the answer.
-        reader: The target that prefills the prompt; None for `target`.
+        prefill_target: The target that prefills the prompt; None if `target` does it.
         engine: The engine that prefills it.
         estimate: The estimate of the prefill.
         delay_s: Time from the end of the prefill to the first event, seconds.
@@ -485,7 +485,7 @@
     queue_cost_s = max(wait_s, queued_behind_s)
     return RequestPlan(
         target=target,
-        reader=reader,
+        prefill_target=prefill_target,
         uncached_tokens=estimate.uncached_tokens,
         prefill_s=estimate.prefill_s,
         wait_s=wait_s,
@@ -496,7 +496,7 @@
         + decode_cost_s
         + estimate.penalty_s,
         missing_share=estimate.missing_share,
-        holder=estimate.holder,
+        cache_source=estimate.cache_source,
         fetch_s=estimate.fetch_s,
         level=level,
         slot_wait_s=context.slot_wait_s,
--- a/src/robinspindle/platform/dialect.py
+++ b/src/robinspindle/platform/dialect.py
@@ -130,8 +130,8 @@
     lines.append(b"X-Request-Priority: %d" % send.priority)
     if send.prefill_only:
         lines.append(b"X-Stage: prefill")
-    if send.holder:
-        lines.append(b"Kv-Fetch: " + send.holder.encode())
+    if send.cached_parts_address:
+        lines.append(b"Kv-Fetch: " + send.cached_parts_address.encode())
     if send.source is not None:
         source = f"{send.source.address}/{send.source.handle}"
         lines.append(b"X-Kv-Source: " + source.encode())
--- a/src/robinspindle/readingapart.py
+++ b/src/robinspindle/readingapart.py
@@ -50,13 +50,15 @@
 
     async def read(self, passage: Passage, plan: RequestPlan) -> CacheSource | None:
         """Have a prompt read at the plan's reader; None when that failed."""
-        reader = plan.reader
+        reader = plan.prefill_target
         engine = self._means.fleet.find_engine(reader)
         passage.reads += 1
         work = self._readings.begin(passage, reader, engine, plan)
         reader.in_flight += 1
         try:
-            head, body = await self._ask(passage, Sending(reader, holder=plan.holder))
+            head, body = await self._ask(
+                passage, Sending(reader, cache_source=plan.cache_source)
+            )
             if head.status != READ:
                 self._note_unread(passage, reader, head)
                 return None
--- a/src/robinspindle/relay.py
+++ b/src/robinspindle/relay.py
@@ -221,7 +221,7 @@
 
     async def _carry_out(self, passage: Passage, plan: RequestPlan) -> End:
         engine = self._means.fleet.find_engine(plan.target)
-        if plan.reader is None:
+        if plan.prefill_target is None:
             if engine is not None and passage.request.prompt is not None:
                 return await self._send_unread(passage, plan, engine)
             return await self._send(passage, Sending(plan.target))
@@ -241,7 +241,7 @@
             return end
         finally:
             if not taken:
-                self._apart.release(plan.reader, source)
+                self._apart.release(plan.prefill_target, source)
 
     async def _send_unread(
         self, passage: Passage, plan: RequestPlan, engine: Engine
@@ -251,7 +251,7 @@
         try:
             sending = Sending(
                 plan.target,
-                holder=plan.holder,
+                cache_source=plan.cache_source,
                 on_first=lambda: work.end(clock()),
             )
             return await self._send(passage, sending)
--- a/src/robinspindle/relaylogs.py
+++ b/src/robinspindle/relaylogs.py
@@ -39,8 +39,10 @@
             route=passage.route.name,
             configuration=self._means.fleet.table.version,
             target=plan.target.announced.lifetime,
-            reader=plan.reader.announced.lifetime if plan.reader else "",
-            holder=plan.holder.announced.lifetime if plan.holder else "",
+            reader=plan.prefill_target.announced.lifetime
+            if plan.prefill_target
+            else "",
+            holder=plan.cache_source.announced.lifetime if plan.cache_source else "",
             in_flight=plan.target.in_flight,
             faults=round(plan.target.faults, 2),
             wait_ms=round(plan.wait_s * 1000, 1),
@@ -86,7 +88,9 @@
             request=passage.request.id,
             route=passage.route.name,
             target=target.announced.lifetime if target else "",
-            reader=plan.reader.announced.lifetime if plan and plan.reader else "",
+            reader=plan.prefill_target.announced.lifetime
+            if plan and plan.prefill_target
+            else "",
             planned_ms=round(plan.first_event_s * 1000, 1) if plan else None,
             wait_ms=round(plan.wait_s * 1000, 1) if plan else None,
             unread=plan.uncached_tokens if plan else None,
--- a/src/robinspindle/sending.py
+++ b/src/robinspindle/sending.py
@@ -37,13 +37,14 @@
     Attributes:
         target: Where to.
         source: Where its read prompt is; None to read it there.
-        holder: From whose cache the target first fetches what it lacks; None for none.
+        cache_source: From whose cache the target first fetches what it lacks; None for
+            none.
         on_first: Called when the answer begins.
     """
 
     target: Target
     source: CacheSource | None = None
-    holder: Target | None = None
+    cache_source: Target | None = None
     on_first: Callable[[], None] = do_nothing
 
 
@@ -87,7 +88,9 @@
         priority=urgency,
         prefill_only=prefill_only,
         source=sending.source,
-        holder=sending.holder.announced.address if sending.holder else "",
+        cached_parts_address=sending.cache_source.announced.address
+        if sending.cache_source
+        else "",
         resume_after=passage.splitter.last_id if events else None,
     )
 
--- a/tests/core/generationplay.py
+++ b/tests/core/generationplay.py
@@ -168,7 +168,7 @@
             target.announced = replace(target.announced, slots=slots)
         return gateway
 
-    def _find_most_slot_wait_s(self, kind):
+    def _find_max_slot_wait_s(self, kind):
         return kind.latency_objective_s
 
     def run(self):
@@ -242,7 +242,7 @@
                     )
                     engine.peers_long_answers["others"] = sum(long) - long[number]
 
-    def _read_busily(self, where, busy_s):
+    def _run_prefill(self, where, busy_s):
         decode_engine = self.decode_engines[where]
         decode_engine.prefill_started_at = self.env.now
         yield self.env.timeout(busy_s)
@@ -255,7 +255,7 @@
         prefilled_at = env.now
         is_long = gateway.stats.is_long(kind.name, SERVICE)
         target = plan.target
-        if plan.reader is not None:
+        if plan.prefill_target is not None:
             target = choose_decode_target(
                 gateway.pairs, "a", env.now, self.load.news_s, self.rng,
                 gateway.stats.has_pause_sensitive(SERVICE),
@@ -266,7 +266,7 @@
         target.in_flight += 1
         engine.own_long_answers += is_long
         level = plan.level
-        if plan.reader is not None and level == LATE_LEVEL:
+        if plan.prefill_target is not None and level == LATE_LEVEL:
             level = find_rank_level(kind.rank)
         events = yield from self._generate(
             name, engine, kind, prompt, REQUEST_PRIORITIES[level], came_at,
@@ -274,7 +274,7 @@
         )  # fmt: skip
         engine.own_long_answers -= is_long
         target.in_flight -= 1
-        if plan.reader is not None and events.first_at is not None:
+        if plan.prefill_target is not None and events.first_at is not None:
             seconds = events.first_at - prefilled_at
             is_late = plan.level == LATE_LEVEL
             gateway.stats.note_handoff(SERVICE, env.now, seconds, is_late)
@@ -286,7 +286,7 @@
         counts = plan.level < LATE_LEVEL
         if counts != events.is_whole:
             note = note_served if events.is_whole else note_not_served
-            note(gateway.turns, env.now, kind.name, prompt.tokens)
+            note(gateway.prompt_fairness, env.now, kind.name, prompt.tokens)
         if events.is_whole:
             asked = kind.name, prompt.expected_answer_tokens
             note_served(gateway.answer_fairness, env.now, *asked)
--- a/tests/core/loadplay.py
+++ b/tests/core/loadplay.py
@@ -120,7 +120,7 @@
     """The local view of one gateway: the target and the engine of each lifetime."""
 
     pairs: list
-    turns: SizeFairness = field(default_factory=SizeFairness)
+    prompt_fairness: SizeFairness = field(default_factory=SizeFairness)
 
 
 def play(load: Load, seed: int = 1) -> Outcome:
@@ -220,7 +220,7 @@
             token_transfer_s=1.2e-7, age_s=self.load.news_s, rng=self.rng,
         )  # fmt: skip
 
-    def _find_most_slot_wait_s(self, kind):
+    def _find_max_slot_wait_s(self, kind):
         """Return the longest time that an answer may wait for a slot, seconds."""
         return math.inf
 
@@ -230,22 +230,22 @@
         came_at = env.now
         prompt = self._make_prompt(kind)
         at = self._describe(gateway, kind, prompt)
-        turns, asked = gateway.turns, (kind.name, prompt.tokens)
-        note_arrival(turns, env.now, *asked)
+        prompt_fairness, asked = gateway.prompt_fairness, (kind.name, prompt.tokens)
+        note_arrival(prompt_fairness, env.now, *asked)
         at = replace(
             at,
             is_prompt_underserved=load.gives_turns
-            and is_underserved(turns, env.now, *asked),
+            and is_underserved(prompt_fairness, env.now, *asked),
         )
         plan = choose_plan(gateway.pairs, prompt, at)
-        most_slot_wait_s = self._find_most_slot_wait_s(kind)
-        if should_refuse(plan, kind.patience_s, most_slot_wait_s=most_slot_wait_s):
+        max_slot_wait_s = self._find_max_slot_wait_s(kind)
+        if should_refuse(plan, kind.patience_s, max_slot_wait_s=max_slot_wait_s):
             self._note_end(kind, prompt, None)
             return
         if plan.level < LATE_LEVEL:
-            note_served(turns, env.now, *asked)
+            note_served(prompt_fairness, env.now, *asked)
         engines = {t.announced.lifetime: e for t, e in gateway.pairs}
-        engine_name = (plan.reader or plan.target).announced.lifetime
+        engine_name = (plan.prefill_target or plan.target).announced.lifetime
         engine = engines[engine_name]
         alone = engine.backlog_s <= 0.001
         engine.own_backlog_s[plan.level] += plan.prefill_s
@@ -270,7 +270,7 @@
     def _answer(self, gateway, kind, prompt, plan, came_at):
         """Begin the answer to a prefilled prompt; its other events take no time."""
         env = self.env
-        if plan.reader is not None:
+        if plan.prefill_target is not None:
             host = choose_decode_target(
                 gateway.pairs, "a", env.now, self.load.news_s, self.rng
             )
@@ -280,7 +280,7 @@
         is_served = env.now - came_at <= kind.patience_s
         if is_served != (plan.level < LATE_LEVEL):
             note = note_served if is_served else note_not_served
-            note(gateway.turns, env.now, kind.name, prompt.tokens)
+            note(gateway.prompt_fairness, env.now, kind.name, prompt.tokens)
         self._note_end(kind, prompt, env.now - came_at)
 
     def _read(self, engine_name, prompt, plan, gives_up_at):
@@ -293,21 +293,21 @@
             # With several kinds, requests of callers that gave up are dropped, as on
             # real engines.
             if not self.load.kinds or env.now < gives_up_at:
-                yield from self._read_busily(
+                yield from self._run_prefill(
                     engine_name, self._find_busy_s(engine_name, prompt, plan)
                 )
                 note_placed(held, prompt.parts)
         yield env.timeout(self.load.way_s / 2)
 
-    def _read_busily(self, engine_name, busy_s):
+    def _run_prefill(self, engine_name, busy_s):
         """Keep an engine busy with one prompt."""
         yield self.env.timeout(busy_s)
 
     def _find_busy_s(self, engine_name, prompt, plan):
         held = self.held[engine_name]
         cached = count_cached(held, prompt)
-        if plan.holder is not None:
-            there = self.held[plan.holder.announced.lifetime]
+        if plan.cache_source is not None:
+            there = self.held[plan.cache_source.announced.lifetime]
             cached = max(cached, count_cached(there, prompt))
         new = prompt.tokens - cached
         pairs_m = new * (cached + new / 2) / 1e6
--- a/tests/core/test_prefillplacement.py
+++ b/tests/core/test_prefillplacement.py
@@ -43,7 +43,7 @@
 
 def test_uncached_prompt_is_prefilled_on_a_prefill_engine():
     plan = choose_plan(make_pairs(), DIGEST_PROMPT, CONTEXT)
-    assert name(plan.reader).startswith("p")
+    assert name(plan.prefill_target).startswith("p")
     assert name(plan.target).startswith("d")
 
 
@@ -51,21 +51,21 @@
     pairs = make_pairs()
     engines.note_placed(pairs[1][1], DIGEST_PROMPT.parts[:2])
     plan = choose_plan(pairs, DIGEST_PROMPT, CONTEXT)
-    assert (name(plan.reader), plan.uncached_tokens) == ("p2", 2900)
+    assert (name(plan.prefill_target), plan.uncached_tokens) == ("p2", 2900)
 
 
 def test_prompt_leaves_the_cached_engine_if_it_would_miss_its_deadline():
     pairs = make_pairs()
     engines.note_placed(pairs[1][1], DIGEST_PROMPT.parts[:2])
     pairs[1][1].own_backlog_s[1] = 0.3
-    assert name(choose_plan(pairs, DIGEST_PROMPT, CONTEXT).reader) != "p2"
+    assert name(choose_plan(pairs, DIGEST_PROMPT, CONTEXT).prefill_target) != "p2"
 
 
 def test_decode_engine_prefills_a_prompt_that_it_has_cached():
     pairs = make_pairs()
     engines.note_placed(pairs[3][1], DIGEST_PROMPT.parts[:2])
     plan = choose_plan(pairs, DIGEST_PROMPT, CONTEXT)
-    assert (name(plan.reader), name(plan.target)) == ("", "d2")
+    assert (name(plan.prefill_target), name(plan.target)) == ("", "d2")
 
 
 def test_decode_engine_does_not_prefill_if_long_answers_would_pause():
@@ -74,7 +74,7 @@
     engines.note_placed(engine, DIGEST_PROMPT.parts[:2])
     engine.own_long_answers = 4
     engine.prefill_share = 0.15
-    assert choose_plan(pairs, DIGEST_PROMPT, CONTEXT).reader is not None
+    assert choose_plan(pairs, DIGEST_PROMPT, CONTEXT).prefill_target is not None
 
 
 def test_long_answers_are_concentrated_up_to_a_share_of_the_slots():
@@ -87,7 +87,7 @@
 
 def test_without_prefill_engines_decode_engines_prefill():
     pairs = make_pairs()[2:]
-    assert choose_plan(pairs, DIGEST_PROMPT, CONTEXT).reader is None
+    assert choose_plan(pairs, DIGEST_PROMPT, CONTEXT).prefill_target is None
 
 
 def test_without_decode_engines_there_is_no_plan():
@@ -98,13 +98,13 @@
     pairs = [make_pair("p1", "prefill", "b"), make_pair("p2", "prefill")]
     pairs += [make_pair("d1", "decode", "b"), make_pair("d2", "decode")]
     plan = choose_plan(pairs, DIGEST_PROMPT, CONTEXT)
-    assert (name(plan.reader), name(plan.target)) == ("p2", "d2")
+    assert (name(plan.prefill_target), name(plan.target)) == ("p2", "d2")
 
 
 def test_failing_engine_is_avoided():
     pairs = make_pairs()
     pairs[0][0].faults = 0.9
-    assert name(choose_plan(pairs, DIGEST_PROMPT, CONTEXT).reader) == "p2"
+    assert name(choose_plan(pairs, DIGEST_PROMPT, CONTEXT).prefill_target) == "p2"
 
 
 def plan_behind(wait_s, held=()):
@@ -164,8 +164,8 @@
         engine.own_long_answers = 4
         engine.prefill_share = 0.05
     plan = choose_plan(pairs, DIGEST_PROMPT, TRANSFER_CONTEXT)
-    assert name(plan.reader).startswith("p")
-    assert (name(plan.holder), plan.uncached_tokens) == ("d2", 2900)
+    assert name(plan.prefill_target).startswith("p")
+    assert (name(plan.cache_source), plan.uncached_tokens) == ("d2", 2900)
 
 
 def test_nothing_is_fetched_if_the_transfer_is_slower_than_prefill():
@@ -175,30 +175,34 @@
     pairs[3][1].prefill_share = 0.05
     slow = dataclasses.replace(TRANSFER_CONTEXT, token_transfer_s=1e-5)
     plan = choose_plan(pairs, DIGEST_PROMPT, slow)
-    assert (plan.holder, plan.uncached_tokens) == (None, 9200)
+    assert (plan.cache_source, plan.uncached_tokens) == (None, 9200)
 
 
 def test_nothing_is_fetched_if_the_transfer_time_is_unknown():
     pairs = make_pairs()
     engines.note_placed(pairs[3][1], DIGEST_PROMPT.parts[:2])
-    assert choose_plan(pairs, DIGEST_PROMPT, CONTEXT).holder is None
+    assert choose_plan(pairs, DIGEST_PROMPT, CONTEXT).cache_source is None
 
 
 def test_engine_with_cached_parts_is_preferred_to_a_fetch():
     pairs = make_pairs()
     engines.note_placed(pairs[1][1], DIGEST_PROMPT.parts[:2])
     plan = choose_plan(pairs, DIGEST_PROMPT, TRANSFER_CONTEXT)
-    assert (name(plan.reader), plan.holder) == ("p2", None)
+    assert (name(plan.prefill_target), plan.cache_source) == ("p2", None)
 
 
 def test_stale_state_spreads_choices_over_engines():
     pairs = make_pairs()
     pairs[0][1].own_backlog_s[1] = 0.004
     stale = dataclasses.replace(CONTEXT, age_s=0.1, rng=random.Random(1))
-    found = [name(choose_plan(pairs, DIGEST_PROMPT, stale).reader) for _ in range(40)]
+    found = [
+        name(choose_plan(pairs, DIGEST_PROMPT, stale).prefill_target) for _ in range(40)
+    ]
     assert 10 < found.count("p2") < 40
     fresh = dataclasses.replace(CONTEXT, age_s=0.001, rng=random.Random(1))
-    found = [name(choose_plan(pairs, DIGEST_PROMPT, fresh).reader) for _ in range(40)]
+    found = [
+        name(choose_plan(pairs, DIGEST_PROMPT, fresh).prefill_target) for _ in range(40)
+    ]
     assert found.count("p2") == 40
 
 
@@ -206,9 +210,9 @@
     pairs = [make_pair("p1", "prefill"), make_pair("p2", "prefill")]
     pairs.append(make_pair("d1", "decode"))
     pairs[0][0].cold_until = 1.0
-    assert name(choose_plan(pairs, DIGEST_PROMPT, CONTEXT).reader) == "p2"
+    assert name(choose_plan(pairs, DIGEST_PROMPT, CONTEXT).prefill_target) == "p2"
     later = dataclasses.replace(CONTEXT, now=1.0)
-    assert name(choose_plan(pairs, DIGEST_PROMPT, later).reader) == "p1"
+    assert name(choose_plan(pairs, DIGEST_PROMPT, later).prefill_target) == "p1"
 
 
 def test_cheapest_engine_prefills_if_no_answers_are_sensitive_to_pauses():
@@ -245,9 +249,9 @@
         engine.own_long_answers = 4
         engine.prefill_share = 0.05
     plan = choose_plan(pairs, DIGEST_PROMPT, LONG_CONTEXT)
-    assert name(plan.reader).startswith("p")
-    assert choose_plan(pairs, CHAT_PROMPT, LONG_CONTEXT).reader is None
-    assert choose_plan(pairs[2:], DIGEST_PROMPT, LONG_CONTEXT).reader is None
+    assert name(plan.prefill_target).startswith("p")
+    assert choose_plan(pairs, CHAT_PROMPT, LONG_CONTEXT).prefill_target is None
+    assert choose_plan(pairs[2:], DIGEST_PROMPT, LONG_CONTEXT).prefill_target is None
 
 
 def test_long_answer_with_a_short_prompt_gets_the_level_of_its_rank():
@@ -264,7 +268,7 @@
     assert short.level == SHORT_LEVEL
     assert long.level == find_rank_level(1)
     # The decode engine still prefills its prompt.
-    assert long.reader is None
+    assert long.prefill_target is None
 
 
 def test_long_answer_is_refused_if_no_engine_has_capacity():
@@ -299,6 +303,6 @@
         interference.note_slot_hold(engine, 4.8)
     plan = choose_plan(pairs, CHAT_PROMPT, LONG_CONTEXT)
     assert plan.slot_wait_s > 1.0
-    assert prefillplacement.should_refuse(plan, 15.0, most_slot_wait_s=0.2)
+    assert prefillplacement.should_refuse(plan, 15.0, max_slot_wait_s=0.2)
     # By default, as for a caller that has retried, it is sent even though it is late.
     assert not prefillplacement.should_refuse(plan, 15.0)
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -76,7 +76,7 @@
     assert "X-Kv-Source: 1.2.3.4:5/h1\r\n" in encode(
         source=CacheSource("1.2.3.4:5", "h1")
     )
-    assert "Kv-Fetch: 1.2.3.4:6\r\n" in encode(holder="1.2.3.4:6")
+    assert "Kv-Fetch: 1.2.3.4:6\r\n" in encode(cached_parts_address="1.2.3.4:6")
     assert "Kv-Fetch" not in encode()
     assert dialect.decode_prefill_answer(
         "1.2.3.4:5", b'{"KvHandle":"h1"}'
