--- a/src/robinspindle/core/answerstats.py
+++ b/src/robinspindle/core/answerstats.py
@@ -17,8 +17,8 @@
 
 MIN_TIMED_EVENTS = 8
 """Minimum events of an answer for its time per event to count: the last event of an
-answer is incomplete, and where nine in ten answers are shorter than this, all events
-would appear too fast."""
+answer has fewer tokens and comes sooner. Where nine in ten answers are shorter than
+this, all events would therefore appear too fast."""
 
 INITIAL_HANDOFF_S = 0.01
 """Assumed delay from the end of a prefill on another engine to the first event, before
@@ -77,7 +77,7 @@
     """Delay from the end of prefills on another engine to the first event.
 
     Attributes:
-        seconds: Approximate median delay.
+        seconds: Approximate median delay, seconds.
         at: When an answer last began, monotonic seconds.
     """
 
--- a/src/robinspindle/core/decodeplacement.py
+++ b/src/robinspindle/core/decodeplacement.py
@@ -25,7 +25,8 @@
 
 REQUEST_COST_S = 0.002
 """Cost of each request in flight at a decode engine, seconds, so that answers are
-spread: its share of the decode steps that it slows down."""
+spread over the engines: its share of the time of the decode steps that it slows
+down."""
 
 LONG_ANSWER_SLOT_SHARE = 0.3
 """Share of its slots that long answers may fill before they go to the next engine."""
@@ -38,13 +39,13 @@
 """Assumed ratio of the longest answers of a kind to their mean length."""
 
 CAPACITY_SHARE = 0.85
-"""Share of the time per event that the longest answers tolerate at which an engine
-takes no more of them: the time per event rises as answers grow."""
+"""An engine takes no more long answers once its time per event exceeds this share of
+what the longest answers tolerate: the time per event rises as answers grow."""
 
 SLOW_ENGINE_FACTOR = 1.25
 """An engine whose time per event exceeds this multiple of what the longest answers
-tolerate is slow in itself and takes only shorter answers. Below it, the engine has too
-many answers."""
+tolerate is slow for another reason than its number of answers, and takes only shorter
+ones. Between CAPACITY_SHARE and this factor, it is assumed to have too many answers."""
 
 LENGTH_SAFETY_FACTOR = 2.0
 """Factor by which an answer may exceed its caller's guess and still meet its deadline:
@@ -55,8 +56,8 @@
 engine rises: its long answers are then slow for another reason than their number."""
 
 MAX_SLOWDOWN = 4.0
-"""Upper limit of the slowdown in costs: the recovery of an engine that gets no requests
-would not be noticed."""
+"""Upper limit of the slowdown that costs include: an engine that gets no requests
+because of its cost cannot show that it has recovered."""
 
 FAULT_COST_S = 0.3
 """Cost of a target that only fails, seconds; above a usual latency objective."""
@@ -71,9 +72,9 @@
 ) -> Pair:
     """Choose the engine that generates a long answer.
 
-    The longest answers need events that come fast, as their callers' time limits cut
-    them otherwise; shorter ones tolerate a slower engine. If all were spread alike,
-    only the longest would be lost.
+    The longest answers need short times per event, as they are otherwise cut at their
+    callers' time limits; shorter ones tolerate a slower engine. If all answers were
+    spread alike, the longest ones alone would be lost.
 
     Args:
         pairs: The decode engines, at least one.
--- a/src/robinspindle/core/forwarding.py
+++ b/src/robinspindle/core/forwarding.py
@@ -23,9 +23,9 @@
 MIN_STREAM_TIMEOUT_S = 2.0
 STREAM_TIMEOUT_OBJECTIVES = 4.0
 STREAM_TIMEOUT_GAPS = 8.0
-"""Callers abandon a stream after a silence of the longest of these: seconds, multiples
-of its latency objective, multiples of the allowed pause. The platform's documentation
-of requests defines these values."""
+"""A caller abandons a stream that has sent nothing for the longest of these times: a
+fixed time, a multiple of its latency objective, a multiple of the allowed pause. The
+platform's documentation of requests defines the three values."""
 
 TIMEOUT_ANSWER_GRACE_S = 0.1
 """How long to wait for a target's own timeout response, seconds: well below the quarter
--- a/src/robinspindle/core/interference.py
+++ b/src/robinspindle/core/interference.py
@@ -12,15 +12,15 @@
 """A pause longer than this share of the allowed pause makes an engine prefill less."""
 
 OVERRUN_SHARE = 0.25
-"""Share of its length so far that an answer beyond its caller's guess is assumed to
-last."""
+"""Expected rest of an answer that has exceeded its caller's guess, as a share of its
+length so far."""
 
 PREFILL_SHARE_BOUNDS = (0.05, 0.9)
 PREFILL_SHARE_STEP_UP = 0.01
 PREFILL_SHARE_FACTOR_DOWN = 0.8
 """Bounds and steps of the share of its prefill capacity that an engine may use while it
-generates answers: the share rises a little with each event in time and falls at once
-with a late one."""
+generates answers: the share rises a little with each event that arrives in time and
+falls much faster with late ones."""
 
 EVENT_SMOOTHING = 0.1
 """Weight of the newest event in the average time per event of an engine: about the last
--- a/src/robinspindle/core/prefillplacement.py
+++ b/src/robinspindle/core/prefillplacement.py
@@ -50,7 +50,8 @@
 from robinspindle.core.targets import Target
 
 COST_JITTER_SHARE = 1.0
-"""Largest random addition to the cost of a plan, as a share of the state's age."""
+"""Largest random addition to the cost of a plan, as a share of the maximum age of what
+other gateways have reported."""
 
 SUBSET_SIZE = 2
 MAX_SUBSETS = 2
@@ -71,7 +72,7 @@
 DEADLINE_SHARE = 0.9
 """Share of the time to the deadline that the estimate of a plan may use; the rest
 covers estimation errors. With a smaller share, prompts that could have met their
-deadline are treated as late."""
+deadlines are treated as late and queued behind all others."""
 
 TIMEOUT_SHARE = 0.8
 """Share of the time until the caller times out that the estimated time to the first
@@ -365,7 +366,8 @@
             _plan_remote_prefill(pair, decode_pair, prompt, context, transfer, is_late)
             for pair in prefill_pairs
         ]
-    # If there are only decode engines, one of them has to prefill the prompt.
+    # Without a prefill engine, a decode engine has to prefill the prompt, unless other
+    # decode engines have not been considered yet.
     return plans or (local_plans if len(local_pairs) == len(decode_pairs) else [])
 
 
@@ -423,8 +425,8 @@
     delay_s = estimate_target_cost_s(prefill_target, context.zone) + max(
         handoff_s, context.slot_wait_s
     )
-    # The decode engine prefills other prompts meanwhile, but starts a fetched one
-    # between two of them.
+    # The decode engine may have other prompts to prefill, but it begins the answer to
+    # a fetched prompt between two of these prefills.
     decode_cost_s = min(
         _estimate_decode_cost_s(decode_pair, context), MAX_DECODE_COST_S
     )
--- a/src/robinspindle/core/retrydetection.py
+++ b/src/robinspindle/core/retrydetection.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass, field
 
 RETRY_TIMEOUT_SHARE = 0.97
-"""A caller with less than this share of the longest timeout of its route is a retry:
-the network delay to the gateway takes a few milliseconds, but a refusal and the delay
-before the retry take more than a twentieth of any observed timeout."""
+"""An attempt whose caller waits for less than this share of the longest timeout of its
+route is a retry: the network delay to the gateway is a few milliseconds, but a refusal
+and the delay before the retry take more than a twentieth of any observed timeout."""
 
 
 @dataclass
--- a/src/robinspindle/core/sizefairness.py
+++ b/src/robinspindle/core/sizefairness.py
@@ -14,9 +14,9 @@
 from robinspindle.core.sizeclasses import find_size_class
 
 MIN_FAIR_SHARE = 0.6
-"""Minimum ratio of the served share of a size class to that of its route. It is only a
-little above the half that each class is owed, as serving underserved classes costs the
-others some of their time."""
+"""Minimum ratio of the served share of a size class to that of its route. Each class is
+owed a ratio of 0.5; the limit is only a little higher, as serving underserved classes
+costs the others some of their time."""
 
 WINDOW_S = 20.0
 """Time constant of the counts, seconds: about the duration of an overload, so that
@@ -82,7 +82,7 @@
     Args:
         fairness: Outcomes of recent requests.
         now: The current time, monotonic seconds.
-        route: The route of a recorded request.
+        route: The route of a request whose arrival was recorded.
         tokens: Tokens of its prompt.
     """
     route_counts, class_counts = _find_counts(fairness, now, route, tokens)
--- a/tests/core/test_decodeplacement.py
+++ b/tests/core/test_decodeplacement.py
@@ -94,7 +94,7 @@
 
 
 def test_answer_without_a_length_guess_goes_to_any_engine():
-    """Judged by its maximum length, it would always go to the fastest engine."""
+    """With its maximum length as the guess, it would go to the fastest engine."""
     pairs = make_decode_pairs(0.08, 0.06)
     pairs[0][1].own_long_answers = 3
     unknown = find_max_event_s(Prompt("m", (), 220, 12_198), 57, 15.0)
--- a/tests/core/test_forwarding.py
+++ b/tests/core/test_forwarding.py
@@ -17,9 +17,11 @@
     return Request("r1", "POST", b"/r/?q", "h", (), b"", wait_s, 10.0)
 
 
-@pytest.mark.parametrize(("wait_s", "due"), [(None, 12.0), (0.5, 10.5), (9.0, 12.0)])
-def test_deadline_is_the_earlier_of_caller_and_route_timeout(wait_s, due):
-    assert forwarding.find_deadline(make_request(wait_s), make_route()) == due
+@pytest.mark.parametrize(
+    ("wait_s", "deadline"), [(None, 12.0), (0.5, 10.5), (9.0, 12.0)]
+)
+def test_deadline_is_the_earlier_of_caller_and_route_timeout(wait_s, deadline):
+    assert forwarding.find_deadline(make_request(wait_s), make_route()) == deadline
 
 
 @given(
--- a/tests/core/test_generation.py
+++ b/tests/core/test_generation.py
@@ -3,8 +3,8 @@
 Guards against answers that are cut, pause or never begin although their prompts were
 prefilled. This came about as follows: traffic rises, and decode engines prefill beside
 their answers for up to 0.6 of the time, whatever that does to the answers. An event
-takes 130 to 300 ms instead of 75 with as many answers. Slots fill up, as each answer
-lasts longer. Answers of a few events then count as long, and the prompts of long
+then takes 130 to 300 ms, instead of 75 ms with as many answers. Slots fill up, as each
+answer lasts longer. Answers of a few events then count as long, and the prompts of long
 answers were always prefilled by their decode engine, which made it exceed its capacity.
 
 In the logs, decode engines were planned to prefill 40,000 to 105,000 tokens a second
--- a/tests/core/test_interference.py
+++ b/tests/core/test_interference.py
@@ -61,8 +61,8 @@
 def test_engine_whose_answers_get_no_event_does_not_prefill():
     """Guards against endless prefill on an engine whose answers have stopped.
 
-    A completed pause is recorded only when it ends: an engine three times as slow as
-    estimated prefilled without end, and its answers never received another event.
+    A pause is recorded only when it ends. An engine three times as slow as estimated
+    therefore prefilled without end, and its answers never received another event.
     """
     engine = make_engine(False, 100_000)
     interference.note_answer_begun(engine, 1.0)
--- a/tests/core/test_prefillplacement.py
+++ b/tests/core/test_prefillplacement.py
@@ -107,11 +107,11 @@
     assert name(choose_plan(pairs, DIGEST_PROMPT, CONTEXT).prefill_target) == "p2"
 
 
-def plan_behind(wait_s, held=()):
+def plan_behind(wait_s, cached_parts=()):
     pairs = [make_pair("p1", "prefill"), make_pair("d1", "decode")]
     for _, engine in pairs:
         engine.own_backlog_s[1] = wait_s
-        engines.note_placed(engine, held)
+        engines.note_placed(engine, cached_parts)
     return choose_plan(pairs, DIGEST_PROMPT, CONTEXT)
 
 
@@ -220,15 +220,15 @@
     for _, engine in pairs:
         engines.note_prefill_start(engine, 0.0, 0.08, 1)
     engines.note_placed(pairs[0][1], DIGEST_PROMPT.parts[:2])
-    held = dataclasses.replace(CONTEXT, has_pause_sensitive=False)
-    assert name(choose_plan(pairs, DIGEST_PROMPT, held).target) == "d1"
+    insensitive = dataclasses.replace(CONTEXT, has_pause_sensitive=False)
+    assert name(choose_plan(pairs, DIGEST_PROMPT, insensitive).target) == "d1"
 
 
 def test_long_answer_that_begins_after_the_caller_timeout_is_refused():
     """Guards against prompts that wait until their callers time out.
 
-    77 of 88 prompts waited for 2.6 s in vain: they were planned to begin after 5 to 31
-    s.
+    77 of 88 prompts were planned to begin after 5 to 31 s, and waited for 2.6 s in
+    vain.
     """
     pairs = [make_pair("d1", "decode")]
     pairs[0][1].own_backlog_s[0] = 3.0
