--- a/src/robinspindle/beliefs.py
+++ b/src/robinspindle/beliefs.py
@@ -233,7 +233,7 @@
         self.entries.forget(key)
         for target in taken.ended:
             self._end_life(target, announced.lifetime)
-        if taken.is_news:
+        if taken.has_changed:
             self.log(
                 "target announced",
                 target=announced.lifetime,
@@ -277,7 +277,7 @@
             self.log("store lost")
 
     def _note_back(self) -> None:
-        self.fleet.directory.known = True
+        self.fleet.directory.is_list_read = True
         self.fleet.directory.read_at = self.clock()
         if targets.note_store_recovered(self.fleet.directory, self.clock()):
             self.log("store regained")
--- a/src/robinspindle/cachelists.py
+++ b/src/robinspindle/cachelists.py
@@ -62,7 +62,7 @@
 
     async def regain(self) -> None:
         """Wait for peers to tell, then ask for what nobody told, and tell it on."""
-        while not self._fleet.directory.known:
+        while not self._fleet.directory.is_list_read:
             await asyncio.sleep(PEERS_FIRST_S)
         await asyncio.sleep(PEERS_FIRST_S)
         self._fleet.knows_new_caches = True
--- a/src/robinspindle/core/engines.py
+++ b/src/robinspindle/core/engines.py
@@ -95,8 +95,8 @@
         peers_long_answers: The same for the other gateways, by name.
         recent_prefills: Prefills that began there recently.
         placed: Number of prompts that all gateways placed there.
-        event_s: Mean time between two events of its long answers, seconds, as observed
-            by this gateway.
+        event_interval_s: Mean time between two events of its long answers, seconds, as
+            observed by this gateway.
         event_at: Time when that was last observed, monotonic seconds.
         own_answers: Answers that it generates for this gateway.
         answer_at: Time of the last event, or start, of one of those, monotonic seconds.
@@ -122,7 +122,7 @@
     peers_long_answers: dict[str, int] = field(default_factory=dict)
     recent_prefills: deque[PrefillStart] = field(default_factory=deque)
     placed: int = 0
-    event_s: float = 0.0
+    event_interval_s: float = 0.0
     event_at: float = -math.inf
     own_answers: int = 0
     answer_at: float = -math.inf
--- a/src/robinspindle/core/eras.py
+++ b/src/robinspindle/core/eras.py
@@ -6,7 +6,7 @@
 
 from enum import Enum
 
-MOST_ERA = 2**20
+MAX_ERA = 2**20
 """Largest valid era: no store is restored a million times."""
 
 FENCES_PER_ERA = 1_000_000
@@ -26,10 +26,10 @@
 
 def parse_era(value: bytes) -> int | None:
     """Parse an era from its header; return None if it is invalid."""
-    if not value.isdigit() or len(value) > len(str(MOST_ERA)):
+    if not value.isdigit() or len(value) > len(str(MAX_ERA)):
         return None
     era = int(value)
-    return era if era <= MOST_ERA else None
+    return era if era <= MAX_ERA else None
 
 
 def compare_eras(known: int | None, received: int) -> EraChange:
--- a/src/robinspindle/core/health.py
+++ b/src/robinspindle/core/health.py
@@ -10,7 +10,7 @@
 FAILURES_BEFORE_BACKOFF = 2
 """Consecutive connection failures that start a backoff: a single one may be chance."""
 
-FIRST_BACKOFF_S = 0.4
+INITIAL_BACKOFF_S = 0.4
 """First backoff, seconds: about a third of the interval of the targets' heartbeats."""
 
 MAX_BACKOFF_S = 3.0
@@ -20,7 +20,7 @@
 """Time that an engine may take beyond the role change itself, seconds: the longest
 answers that it has to finish first."""
 
-FIRST_FULL_BACKOFF_S = 0.05
+INITIAL_FULL_BACKOFF_S = 0.05
 MAX_FULL_BACKOFF_S = 1.0
 """First and longest backoff of a target that rejected a request as full, seconds. The
 first is about the time in which a few of its requests end; it doubles with each
@@ -97,19 +97,21 @@
     return [target for target in listed if is_healthy(target, now)] or listed
 
 
-def note_refused(target: Target, now: float) -> None:
+def note_connection_refused(target: Target, now: float) -> None:
     """Record a refused connection: the target's process is gone."""
     target.failures = max(target.failures, FAILURES_BEFORE_BACKOFF)
-    note_broken(target, now)
+    note_connection_failure(target, now)
 
 
-def note_broken(target: Target, now: float) -> None:
+def note_connection_failure(target: Target, now: float) -> None:
     """Record a connection that broke or could not be made."""
     target.failures += 1
     note_fault(target, True)
     if target.failures >= FAILURES_BEFORE_BACKOFF:
         doublings = min(8, target.failures - FAILURES_BEFORE_BACKOFF)
-        target.backoff_until = now + min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**doublings)
+        target.backoff_until = now + min(
+            MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2**doublings
+        )
 
 
 def note_heard(target: Target, now: float) -> None:
@@ -121,7 +123,7 @@
 def note_silent(target: Target, now: float) -> None:
     """Record that a target is silent; its backoff begins."""
     silence.note_silent(target.liveness, now)
-    note_refused(target, now)
+    note_connection_refused(target, now)
 
 
 def note_reported_silent(target: Target, now: float) -> bool:
@@ -136,7 +138,7 @@
     is_heard = now - target.liveness.heard_at < silence.MIN_SILENCE_S
     if is_heard or now < target.backoff_until:
         return False
-    note_refused(target, now)
+    note_connection_refused(target, now)
     return True
 
 
@@ -161,6 +163,6 @@
         rests_longer: Whether the backoff doubles with each consecutive rejection.
     """
     doublings = target.refusals if rests_longer else 0
-    backoff_s = min(MAX_FULL_BACKOFF_S, FIRST_FULL_BACKOFF_S * 2**doublings)
+    backoff_s = min(MAX_FULL_BACKOFF_S, INITIAL_FULL_BACKOFF_S * 2**doublings)
     target.refusals += 1
     target.full_until = max(target.full_until, now + backoff_s)
--- a/src/robinspindle/core/interference.py
+++ b/src/robinspindle/core/interference.py
@@ -72,14 +72,14 @@
 def note_event(engine: Engine, now: float, pause_s: float) -> None:
     """Record how long the next event of an answer took."""
     if now - engine.event_at > EVENT_MAX_AGE_S:
-        engine.event_s = pause_s
-    engine.event_s += EVENT_SMOOTHING * (pause_s - engine.event_s)
+        engine.event_interval_s = pause_s
+    engine.event_interval_s += EVENT_SMOOTHING * (pause_s - engine.event_interval_s)
     engine.event_at = now
 
 
 def find_event_s(engine: Engine, now: float) -> float | None:
     """Find an engine's time per event of long answers, seconds; None if not known."""
-    return engine.event_s if now - engine.event_at <= EVENT_MAX_AGE_S else None
+    return engine.event_interval_s if now - engine.event_at <= EVENT_MAX_AGE_S else None
 
 
 def note_long_pause(engine: Engine, pause_s: float, allowed_s: float) -> None:
--- a/src/robinspindle/core/membership.py
+++ b/src/robinspindle/core/membership.py
@@ -9,7 +9,7 @@
 from robinspindle.messages import Report
 
 FAILURES_BEFORE_BACKOFF = 3
-FIRST_BACKOFF_S = 0.5
+INITIAL_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 10.0
 
 
@@ -56,7 +56,7 @@
     evidence.failures += 1
     if evidence.failures >= FAILURES_BEFORE_BACKOFF:
         doublings = evidence.failures - FAILURES_BEFORE_BACKOFF
-        backoff_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**doublings)
+        backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2**doublings)
         evidence.backoff_until = now + backoff_s
 
 
--- a/src/robinspindle/core/peervalidation.py
+++ b/src/robinspindle/core/peervalidation.py
@@ -7,7 +7,7 @@
 import math
 
 from robinspindle.core.crashupdates import are_updates_valid
-from robinspindle.core.eras import MOST_ERA
+from robinspindle.core.eras import MAX_ERA
 from robinspindle.core.peerdigests import (
     Cache,
     ConfigurationAge,
@@ -56,7 +56,7 @@
         return "paces"
     if not all(_is_cache_valid(cache) for cache in digest.caches):
         return "caches"
-    if not 0 <= digest.era <= MOST_ERA:
+    if not 0 <= digest.era <= MAX_ERA:
         return "era"
     if digest.requests is not None and not are_updates_valid(digest.requests):
         return "requests"
--- a/src/robinspindle/core/targets.py
+++ b/src/robinspindle/core/targets.py
@@ -95,7 +95,7 @@
         unavailable_since: Start of the store's outage, monotonic seconds; None while
             the store is available.
         recovered_at: Time when the store last recovered, monotonic seconds.
-        known: Whether the list has been read at least once.
+        is_list_read: Whether the list has been read at least once.
         read_at: Time of the last read of the list, monotonic seconds.
         ended_lifetimes: Lifetimes that are known to have ended, most recent last.
         is_restored: Whether the entries are read from a store that was restored from a
@@ -109,7 +109,7 @@
     newest_lifetimes: OrderedDict[str, str] = field(default_factory=OrderedDict)
     unavailable_since: float | None = None
     recovered_at: float = -RETURN_S
-    known: bool = False
+    is_list_read: bool = False
     read_at: float = 0.0
     ended_lifetimes: OrderedDict[str, None] = field(default_factory=OrderedDict)
     is_restored: bool = False
@@ -123,12 +123,12 @@
     Attributes:
         is_superseded: Whether the entry is about a lifetime that has ended, and was
             ignored.
-        is_news: Whether it changed the directory.
+        has_changed: Whether it changed the directory.
         ended: Earlier lifetimes of the same id that ended because of the entry.
     """
 
     is_superseded: bool = False
-    is_news: bool = False
+    has_changed: bool = False
     ended: tuple[Target, ...] = ()
 
 
@@ -149,8 +149,8 @@
         return AnnouncementResult(is_superseded=True)
     directory.ended_lifetimes.pop(announced.lifetime, None)
     ended = end_earlier_lifetimes(directory, announced.lifetime, now)
-    is_news = note_announced(directory, announced, now)
-    return AnnouncementResult(is_news=is_news, ended=tuple(ended))
+    has_changed = note_announced(directory, announced, now)
+    return AnnouncementResult(has_changed=has_changed, ended=tuple(ended))
 
 
 def is_superseded(directory: Directory, lifetime: str) -> bool:
--- a/src/robinspindle/core/timeofday.py
+++ b/src/robinspindle/core/timeofday.py
@@ -14,7 +14,7 @@
 """Differences up to this are attributed to network and scheduling delay, seconds: a
 datagram waits behind up to 0.1 s of other work at a busy sender on a small machine."""
 
-LEAST_CLOCKS = 3
+MIN_CLOCKS = 3
 """With fewer clocks there is no majority that shows which of them is wrong."""
 
 
@@ -35,7 +35,7 @@
         others: The clocks of peers, as such offsets.
     """
     known = [own, *others]
-    if len(known) < LEAST_CLOCKS:
+    if len(known) < MIN_CLOCKS:
         return own
     return choose_clock(own, statistics.median_low(known))
 
--- a/src/robinspindle/gateway.py
+++ b/src/robinspindle/gateway.py
@@ -350,7 +350,7 @@
         return (
             not self._stop.has_begun
             and self.fleet.table is not None
-            and self.directory.known
+            and self.directory.is_list_read
             and self._keeper.is_known
             and may_serve(self.freshness, self._clock())
         )
--- a/src/robinspindle/sending.py
+++ b/src/robinspindle/sending.py
@@ -123,5 +123,9 @@
 
 def note_broken(target: Target, error: ConnectionBrokenError, now: float) -> None:
     """Take note that a target could not be reached or did not answer."""
-    note = health.note_refused if error.was_refused else health.note_broken
+    note = (
+        health.note_connection_refused
+        if error.was_refused
+        else health.note_connection_failure
+    )
     note(target, now)
--- a/src/robinspindle/usagebook.py
+++ b/src/robinspindle/usagebook.py
@@ -97,7 +97,7 @@
         if relay in self.clocks:
             self.beyond = timeofday.choose_clock(own, self.clocks[relay].agreed)
             self._agreed_at = now
-        elif len(self.clocks) + 1 >= timeofday.LEAST_CLOCKS:
+        elif len(self.clocks) + 1 >= timeofday.MIN_CLOCKS:
             others = [peer.own for peer in self.clocks.values()]
             self.beyond = timeofday.find_agreed_clock(own, others)
             self._agreed_at = now
--- a/tests/core/test_lifetimes.py
+++ b/tests/core/test_lifetimes.py
@@ -44,7 +44,7 @@
     directory = Directory()
     earlier = announce(directory, 5, leaving=True, cold_s=9.0)
     for _ in range(4):
-        health.note_refused(earlier, 0.0)
+        health.note_connection_refused(earlier, 0.0)
     now = announce(directory, 6, now=1.0)
     assert list_usable(directory, 1.0) == ["i1@6"]
     assert (now.failures, now.faults, now.in_flight) == (0, 0.0, 0)
--- a/tests/core/test_targets.py
+++ b/tests/core/test_targets.py
@@ -59,9 +59,9 @@
     announce(directory, "i1")
     announce(directory, "i2")
     bad = directory.targets["i1"]
-    health.note_broken(bad, 0.0)
+    health.note_connection_failure(bad, 0.0)
     assert list_usable_lifetimes(directory, 0.1) == ["i1", "i2"]
-    health.note_broken(bad, 0.1)
+    health.note_connection_failure(bad, 0.1)
     assert list_usable_lifetimes(directory, 0.2) == ["i2"]
     assert list_usable_lifetimes(directory, 0.2 + health.MAX_BACKOFF_S) == ["i1", "i2"]
 
@@ -70,14 +70,14 @@
     directory = Directory()
     announce(directory, "i1")
     announce(directory, "i2")
-    health.note_refused(directory.targets["i1"], 0.0)
+    health.note_connection_refused(directory.targets["i1"], 0.0)
     assert list_usable_lifetimes(directory, 0.1) == ["i2"]
 
 
 def test_if_all_targets_are_in_backoff_all_are_tried():
     directory = Directory()
     announce(directory)
-    health.note_refused(directory.targets["i1"], 0.0)
+    health.note_connection_refused(directory.targets["i1"], 0.0)
     assert list_usable_lifetimes(directory, 0.1) == ["i1"]
 
 
@@ -106,7 +106,7 @@
     announce(directory)
     target = directory.targets["i1"]
     for now in sorted(times):
-        health.note_broken(target, now)
+        health.note_connection_failure(target, now)
         assert target.backoff_until <= now + health.MAX_BACKOFF_S
 
 
@@ -128,9 +128,9 @@
     for _ in range(8):
         health.note_full(target, 0.0)
         backoffs.append(target.full_until)
-    assert backoffs[0] == health.FIRST_FULL_BACKOFF_S
+    assert backoffs[0] == health.INITIAL_FULL_BACKOFF_S
     assert backoffs == sorted(backoffs)
     assert backoffs[-1] == health.MAX_FULL_BACKOFF_S
     health.note_answered(target)
     health.note_full(target, 10.0)
-    assert target.full_until == 10.0 + health.FIRST_FULL_BACKOFF_S
+    assert target.full_until == 10.0 + health.INITIAL_FULL_BACKOFF_S
--- a/tests/platform/test_cachelists.py
+++ b/tests/platform/test_cachelists.py
@@ -33,7 +33,7 @@
     Returns:
         The state of the engine, and the peers.
     """
-    fleet = Fleet(Directory(known=True), dialect.decode_answer)
+    fleet = Fleet(Directory(is_list_read=True), dialect.decode_answer)
     announced = Announcement(
         replica.lifetime, "lm", replica.server.address, "a", 8, role="prefill"
     )
