--- a/src/robinspindle/core/engines.py
+++ b/src/robinspindle/core/engines.py
@@ -21,16 +21,18 @@
 that a slow engine is detected within a second."""
 
 SLOWNESS_BOUNDS = (0.25, 16.0)
-"""Bounds of the ratio that one sample gives: beyond them, the prefill had to wait."""
+"""Bounds of the ratio of measured to estimated time that one sample gives: beyond them,
+the prefill had to wait."""
 
 UNKNOWN_CACHE_S = 10.0
 """Time after the start of a gateway during which engines whose cache contents it hasn't
-received give no samples, seconds: the parts that matter have been placed anew by
+received give no samples, seconds: the parts that matter have been placed again by
 then."""
 
 QUEUED_SMOOTHING = 0.05
 QUEUED_BOUNDS = (0.5, 2.0)
-"""Weight and bounds of a sample whose prefill waited for others."""
+"""Weight of a sample whose prefill waited for others, and bounds of its ratio of
+measured to planned time."""
 
 CACHE_SHARE = 0.85
 """Share of an engine's KV cache assumed to hold cached prompt parts; running requests
--- a/src/robinspindle/core/entries.py
+++ b/src/robinspindle/core/entries.py
@@ -27,12 +27,12 @@
     def note(self, key: str, reason: str) -> bool:
         """Record an invalid entry; return whether it has to be logged."""
         self.total += 1
-        is_news = self.reasons.get(key) != reason
+        is_new_reason = self.reasons.get(key) != reason
         self.reasons[key] = reason
         self.reasons.move_to_end(key)
         while len(self.reasons) > MAX_KEYS:
             self.reasons.popitem(last=False)
-        return is_news
+        return is_new_reason
 
     def forget(self, key: str) -> None:
         """Record that a key's entry is valid or gone."""
--- a/src/robinspindle/core/membership.py
+++ b/src/robinspindle/core/membership.py
@@ -9,8 +9,11 @@
 from robinspindle.messages import Report
 
 FAILURES_BEFORE_BACKOFF = 3
+"""Consecutive failed runs that eject a target."""
+
 INITIAL_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 10.0
+"""First and longest ejection, seconds; it doubles with each further failure."""
 
 
 @dataclass
@@ -81,9 +84,9 @@
 def may_get_work(evidence: Evidence, now: float, leaving_after_s: float) -> bool:
     """Return whether a target may be offered new work.
 
-    The earliest of three signals ends that: the agent's own notice, the agent's
-    timeout, or the platform's list. After an ejection requests may try the target
-    again; one more failure ejects it for longer.
+    A target gets no more work after the first of three signals: the agent's own notice,
+    the agent's timeout, or the platform's list. After an ejection it gets work again;
+    one more failure ejects it for longer.
 
     Args:
         evidence: What is known of the target.
--- a/src/robinspindle/core/pauses.py
+++ b/src/robinspindle/core/pauses.py
@@ -1,10 +1,10 @@
 """Detects pauses of the whole process: its VM was suspended, or it wasn't scheduled.
 
-Nothing was received during a pause, and everything known before it is older than it
+The process receives nothing during a pause, so what it knew before is older than it
 seems. There are two clocks. The monotonic clock of the gateways counts suspension
 (CLOCK_BOOTTIME); the running clock doesn't (CLOCK_MONOTONIC). After a suspension of the
 VM the first is ahead of the second. If the process only wasn't scheduled, both advance
-alike, and it wakes late.
+alike, and it wakes later than it asked to.
 """
 
 from dataclasses import dataclass
--- a/src/robinspindle/core/permits.py
+++ b/src/robinspindle/core/permits.py
@@ -27,7 +27,7 @@
 
 
 OPEN = Permit()
-"""The permit of all requests if the configuration has no keys."""
+"""The permit of every request if the configuration has no keys."""
 
 
 def authorize(
--- a/src/robinspindle/core/prefillmodel.py
+++ b/src/robinspindle/core/prefillmodel.py
@@ -82,16 +82,16 @@
         initial: Coefficients before the first sample.
         own: Sums over this gateway's own samples.
         peer_sums: The same from other gateways, by name.
-        known: The coefficients fitted last; None if samples were added since.
+        last_fit: The coefficients fitted last; None if samples were added since.
     """
 
     initial: Coefficients
     own: FitSums = field(default_factory=lambda: _make_sums())
     peer_sums: dict[str, FitSums] = field(default_factory=dict)
-    known: Coefficients | None = None
+    last_fit: Coefficients | None = None
 
     def __post_init__(self):
-        self.known = self.initial
+        self.last_fit = self.initial
 
     @property
     def fitted(self) -> Coefficients:
@@ -99,9 +99,9 @@
 
         The fit is computed on access, because peers send sums many times as often.
         """
-        if self.known is None:
-            self.known = _fit(self)
-        return self.known
+        if self.last_fit is None:
+            self.last_fit = _fit(self)
+        return self.last_fit
 
 
 def make_prefill_model(prefill_only: bool) -> PrefillModel:
@@ -126,11 +126,11 @@
     """Estimate the time for which a prefill occupies an engine, seconds.
 
     The base time is the network delay of the prompt to its engine and of the answer
-    back, through links and gateways: the engine prefills others meanwhile. When it
-    counted as backlog it was half of all backlog if a prompt of 4,500 tokens is
-    prefilled in 21 ms and answered after 47 ms: engines looked 1.9 times as busy as
-    they were, rather than 1.3 times (`tests/core/test_loadplay.py`), and a demand of 4
-    prefill engines looked like one of 8.
+    back, through links and gateways: the engine prefills others meanwhile. Counted as
+    backlog, it was half of the whole backlog of prompts of 4,500 tokens, which are
+    prefilled in 21 ms and answered after 47 ms. Engines then looked 1.9 times as busy
+    as they were, rather than 1.3 times (`tests/core/test_loadplay.py`), and a demand
+    for 4 prefill engines looked like one for 8.
 
     Args:
         model: The prefill model of the engine.
@@ -153,7 +153,7 @@
         seconds = min(expected * MAX_RATIO, max(expected / MAX_RATIO, seconds))
     features = _find_features(measured.new, measured.context)
     model.own = _add(model.own, features, seconds, expected)
-    model.known = None
+    model.last_fit = None
 
 
 def note_peer_sums(model: PrefillModel, gateway: str, sums: FitSums) -> None:
@@ -161,13 +161,13 @@
     if len(sums.products) != len(_make_sums().products):
         return
     model.peer_sums[gateway] = sums
-    model.known = None
+    model.last_fit = None
 
 
 def forget_peer_sums(model: PrefillModel, gateway: str) -> None:
     """Remove the sums of a gateway that timed out."""
     if model.peer_sums.pop(gateway, None) is not None:
-        model.known = None
+        model.last_fit = None
 
 
 def add_fit_sums(first: FitSums, second: FitSums, factor: float = 1.0) -> FitSums:
--- a/src/robinspindle/core/routes.py
+++ b/src/robinspindle/core/routes.py
@@ -32,7 +32,7 @@
         timeout_s: Timeout of one attempt, seconds.
         latency_objective_s: Latency objective of an answer, seconds; it is worth most
             within this time.
-        attempts: Most targets that one request may be sent to.
+        attempts: Maximum number of targets that one request may be sent to.
         priority: Its priority; 0 is the highest.
         backends: Its services and their weights.
         resumable: Whether a broken stream may be resumed at another target.
@@ -71,7 +71,7 @@
             for a transfer, seconds.
         role_change_s: Time for which a role change makes an engine unavailable,
             seconds.
-        event_tokens: Most tokens in one event of a stream.
+        event_tokens: Maximum number of tokens in one event of a stream.
         token_transfer_s: Transfer time per token of the KV cache over an engine's link,
             seconds; None for unknown.
     """
@@ -93,8 +93,8 @@
         health_path: Path of its health check.
         connection_limit: Connections that one target accepts from all callers together.
         engine: Its engines; None for a plain service.
-        scaling: Bounds of its number of targets per availability zone; None if nobody
-            scales it.
+        scaling: Bounds of its number of targets per availability zone; None if it
+            isn't scaled.
     """
 
     name: str
--- a/src/robinspindle/core/silence.py
+++ b/src/robinspindle/core/silence.py
@@ -3,8 +3,8 @@
 A target that loses its power or its network link sends nothing, and connections to it
 stay open. Whoever waits for a response from a target states how long it may take. A
 target is silent once nothing at all came from it within the time that any waiting
-request expected. A target that is busy with another request sends something for that
-one, so a long wait alone is no silence.
+request expected. A target that is busy with another request sends data for that one,
+so a long wait alone doesn't make a target silent.
 """
 
 import math
@@ -17,23 +17,24 @@
 wait."""
 
 PLANNED_FACTOR = 2.0
-"""Ratio of the timeout for the start of an answer to its planned time; the time by
-which a prefill engine may stay quiet grows by this many times its backlog. Nine in ten
-prefills take less than twice their planned time. Without the backlog, 247 prefill
-engines were wrongly considered silent in one day, and the prefills that had begun there
-were wasted."""
+"""Ratio of the timeout for the start of an answer to its planned time. The timeout of a
+prefill engine also grows by this many times its backlog. Nine in ten prefills take less
+than twice their planned time. When the backlog wasn't added, 247 prefill engines were
+wrongly considered silent in one day, and the prefills that had begun there were
+wasted."""
 
 LOST_FACTOR = 3.0
 LOST_S = 0.8
-"""An answer is lost once it took `LOST_FACTOR` times its planned time, and `LOST_S`
-seconds more. A target may run a request, or prefill a prompt, and its answer may never
-arrive: on a day on which 30% of the answers of half of the engines were lost for 6 s,
-the gateways waited for 55 prompts that had been prefilled until their callers gave up.
-`LOST_S` is longer than the shortest silence, so that a target that sends nothing at all
-is detected as silent first."""
+"""An answer counts as lost `LOST_FACTOR` times its planned time, plus `LOST_S` seconds,
+after the wait for it began. A target may run a request, or prefill a prompt, and its
+answer may never arrive: on a day on which 30% of the answers of half of the engines
+were lost for 6 s, the gateways waited for 55 prompts that had been prefilled until
+their callers gave up. `LOST_S` is longer than the shortest silence, so that a target
+that sends nothing at all is detected as silent first."""
 
 GAP_FACTOR = 2.5
-"""Ratio of the next event's timeout to the longest gap that meets the deadline."""
+"""Ratio of the next event's timeout to the longest gap between two events that meets
+the deadline."""
 
 
 @dataclass(eq=False)
--- a/src/robinspindle/core/subsets.py
+++ b/src/robinspindle/core/subsets.py
@@ -12,7 +12,7 @@
     Args:
         entry: The entry's name.
         targets: Names of all targets of one pool.
-        size: Most targets to choose; 0 chooses all.
+        size: Maximum number of targets to choose; 0 chooses all.
 
     Returns:
         The chosen names, sorted.
--- a/src/robinspindle/core/targets.py
+++ b/src/robinspindle/core/targets.py
@@ -121,8 +121,7 @@
     """The result of applying an entry.
 
     Attributes:
-        is_superseded: Whether the entry is about a lifetime that has ended, and was
-            ignored.
+        is_superseded: Whether the entry was ignored, because its lifetime has ended.
         has_changed: Whether it changed the directory.
         ended: Earlier lifetimes of the same id that ended because of the entry.
     """
@@ -182,7 +181,7 @@
     changed = changed or target.is_unreadable
     target.is_unreadable = False
     if target.announced.leaving and not announced.leaving:
-        # A target never revokes its notice to leave; this entry is an older one that
+        # A target never withdraws its notice to leave; this entry is an older one that
         # arrived late.
         return False
     target.announced = announced
@@ -260,7 +259,7 @@
 
 
 def note_store_unavailable(directory: Directory, now: float) -> bool:
-    """Record that the store doesn't respond; return whether it did before."""
+    """Record that the store doesn't respond; return whether it was available before."""
     if directory.unavailable_since is not None:
         return False
     directory.unavailable_since = now
--- a/src/robinspindle/core/timeofday.py
+++ b/src/robinspindle/core/timeofday.py
@@ -4,7 +4,7 @@
 The gateways of its group use the relay's result. Clocks that differ by no more than the
 delay of a datagram count as equal, and then the gateway's own clock is used. A clock is
 expressed as its offset from the monotonic clock, which can't be set: a step of the own
-clock changes nothing until it has been compared with the others.
+clock has no effect until it has been compared with the others.
 """
 
 import statistics
@@ -17,7 +17,6 @@
 MIN_CLOCKS = 3
 """With fewer clocks there is no majority that shows which of them is wrong."""
 
-
 MAX_CLOCK_AGE_S = 0.5
 """A received clock that may be older than this isn't compared, seconds: its datagram
 waited unread in a buffer."""
