--- a/src/robinspindle/platform/dialect.py
+++ b/src/robinspindle/platform/dialect.py
@@ -48,7 +48,7 @@
         b"x-stage",
     )
 )
-"""Headers that only robinspindle sets; values from a caller are dropped."""
+"""Headers that robinspindle sets itself; values from a caller are not forwarded."""
 
 KEY_HEADER = b"authorization"
 """Header with the bearer key that identifies a caller's workspace."""
@@ -73,13 +73,13 @@
         now: When the head was received, monotonic seconds.
     """
     values = {name.lower(): value for name, value in headers}
-    hop_options = _list_hop_options(values.get(b"connection", b""))
+    connection_options = _list_connection_options(values.get(b"connection", b""))
     forwarded = tuple(
         (name, value)
         for name, value in headers
         if (lower := name.lower()) not in HOP_HEADERS
         and lower not in SYSTEM_HEADERS
-        and lower not in hop_options
+        and lower not in connection_options
     )
     return Request(
         id=values.get(b"x-request-id", b"").decode("latin-1"),
@@ -88,7 +88,7 @@
         host=values.get(b"host", b"").decode("latin-1"),
         headers=forwarded,
         body=b"",
-        wait_s=_parse_ms(values.get(b"x-deadline-ms")),
+        wait_s=_parse_wait_s(values.get(b"x-deadline-ms")),
         received_at=now,
         prompt=_parse_prompt(values),
         caller=values.get(KEY_HEADER, b""),
@@ -97,7 +97,7 @@
 
 
 def set_workspace(request: Request, name: str | None) -> Request:
-    """Replace the key of a request by the workspace that the key belongs to.
+    """Replace the key of a request with the workspace that the key belongs to.
 
     The caller's own value of the workspace header is dropped.
 
@@ -145,11 +145,12 @@
 def decode_answer(status: int, reason: bytes, headers: Headers) -> AnswerHead:
     """Decode the head of a target's response."""
     values = {name.lower(): value for name, value in headers}
-    hop_options = _list_hop_options(values.get(b"connection", b""))
+    connection_options = _list_connection_options(values.get(b"connection", b""))
     forwarded = tuple(
         (name, value)
         for name, value in headers
-        if (lower := name.lower()) not in HOP_HEADERS and lower not in hop_options
+        if (lower := name.lower()) not in HOP_HEADERS
+        and lower not in connection_options
     )
     return AnswerHead(
         status=status,
@@ -191,7 +192,7 @@
 
 
 def encode_release(source: CacheSource) -> bytes:
-    """Encode a request that frees the KV cache of a prompt that is not needed."""
+    """Encode a request that frees an unneeded KV cache at its prefill engine."""
     return (
         f"DELETE /kv-handle/{source.handle} HTTP/1.1\r\nHost: {source.address}\r\n\r\n"
     ).encode()
@@ -225,7 +226,7 @@
     return replace(request, body=body)
 
 
-def _list_hop_options(connection: bytes) -> frozenset[bytes]:
+def _list_connection_options(connection: bytes) -> frozenset[bytes]:
     return frozenset(option.strip().lower() for option in connection.split(b","))
 
 
@@ -240,7 +241,8 @@
     return key if scheme.lower() == b"bearer" and key else None
 
 
-def _parse_ms(value: bytes | None) -> float | None:
+def _parse_wait_s(value: bytes | None) -> float | None:
+    """Convert a number of milliseconds to seconds; return None if it is invalid."""
     try:
         return None if value is None else max(0.0, float(value) / 1000)
     except ValueError:
@@ -248,6 +250,7 @@
 
 
 def _parse_idle_s(value: bytes | None) -> float | None:
+    """Return the ``timeout`` of a ``Keep-Alive`` header, seconds; None without one."""
     for parameter in (value or b"").split(b","):
         name, _, number = parameter.strip().partition(b"=")
         if name.lower() == b"timeout" and number.strip().isdigit():
@@ -262,11 +265,17 @@
         return None
     try:
         tokens, max_answer_tokens = (int(count) for count in counts)
-        expected = int(float(values.get(b"x-length-hint", b"0")))
+        expected_answer_tokens = int(float(values.get(b"x-length-hint", b"0")))
         parts = tuple(_parse_parts(values.get(b"x-prompt-prefix", b"")))
     except ValueError:
         return None
-    return Prompt(model.decode("latin-1"), parts, tokens, max_answer_tokens, expected)
+    return Prompt(
+        model.decode("latin-1"),
+        parts,
+        tokens,
+        max_answer_tokens,
+        expected_answer_tokens,
+    )
 
 
 def _parse_parts(value: bytes):
--- a/src/robinspindle/platform/documents.py
+++ b/src/robinspindle/platform/documents.py
@@ -149,8 +149,8 @@
     sequence: int
     # The role of an engine; other targets have none.
     stage: Literal["", "prefill", "decode"] = ""
-    # Start of the lifetime. It is missing on platforms where no target starts again
-    # under the same id.
+    # Start of the lifetime, Unix milliseconds. It is missing on platforms where no
+    # target starts again under the same id.
     born_ms: Annotated[int, msgspec.Meta(ge=0)] | msgspec.UnsetType = msgspec.field(
         default=msgspec.UNSET, name="born"
     )
@@ -193,7 +193,7 @@
     if not is_id(id):
         raise BadDocumentError("the entry's key is not a valid target id")
     if len(data) > MAX_ENTRY_BYTES:
-        raise BadDocumentError(f"{len(data)} bytes are more than an entry may have")
+        raise BadDocumentError(f"the entry has {len(data)} bytes, more than the limit")
     entry = _decode(data, _Entry)
     _check_address(entry.address)
     born_ms = None if entry.born_ms is msgspec.UNSET else entry.born_ms
@@ -210,7 +210,7 @@
 
 
 def _check_address(address: str) -> None:
-    """Check that an address is IP:PORT.
+    """Check that an address is an IPv4 address and a port: IPv4:PORT.
 
     Raises:
         BadDocumentError: If it is not.
@@ -219,9 +219,9 @@
     try:
         ipaddress.IPv4Address(host)
     except ValueError:
-        raise BadDocumentError(f"{address[:80]!r} is no address") from None
+        raise BadDocumentError(f"{address[:80]!r} is not IPv4:PORT") from None
     if not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
-        raise BadDocumentError(f"{address[:80]!r} is no address")
+        raise BadDocumentError(f"{address[:80]!r} is not IPv4:PORT")
 
 
 def _decode(data: bytes, kind: Any) -> Any:
@@ -264,8 +264,11 @@
     """
     findings, pairs = [], []
     for tenant in tenants:
+        # Requests carry the name in a header.
         if not tenant.name.isascii() or not tenant.name.isprintable():
-            findings.append(f"{ascii(tenant.name)} is not printable ASCII")
+            findings.append(
+                f"workspace name {ascii(tenant.name)} is not printable ASCII"
+            )
         workspace = Workspace(tenant.name, tenant.priority)
         for key in tenant.api_keys:
             fault = find_key_fault(key)
--- a/src/robinspindle/platform/settings.py
+++ b/src/robinspindle/platform/settings.py
@@ -98,6 +98,7 @@
 
 
 def _read_capacity(reader: _Reader) -> float:
+    """Read the processor speed of the gateway as a multiple of one full core."""
     # CpuShare is a share of one core; Cores is the speed of that core as a multiple of
     # a full core.
     share = reader.read("Limits", "CpuShare", float, 1.0)
@@ -118,26 +119,26 @@
 
 
 def _read_pledges(reader: _Reader) -> Pledges:
-    def seconds(key: str, default_ms: float) -> float:
+    def read_seconds(key: str, default_ms: float) -> float:
         value = reader.read("Bounds", key, float, default_ms)
         return (default_ms if value is None else value) / 1000
 
-    def number(key: str, default: float) -> float:
+    def read_number(key: str, default: float) -> float:
         value = reader.read("Bounds", key, float, default)
         return default if value is None else value
 
     is_strict = reader.read("Bounds", "RevokeStrict", bool, False)
     return Pledges(
         # How long a target still serves after it announced that it is leaving.
-        leave_s=seconds("DrainMs", 2000.0),
+        leave_s=read_seconds("DrainMs", 2000.0),
         # Time between the request to stop and the kill of the process.
-        stop_s=number("GraceS", 8.0),
-        configuration_s=seconds("ConfigApplyMs", 2000.0),
-        repeat_ratio=number("RetryBudgetRatio", 0.2),
-        repeat_slack=number("RetryBudgetSlack", 0.0),
-        repeat_window_s=number("BudgetWindowS", 10.0),
-        lease_s=seconds("LeaseMs", 3000.0),
-        revoke_s=seconds("RevokeMs", 0.0) if is_strict else None,
+        stop_s=read_number("GraceS", 8.0),
+        configuration_s=read_seconds("ConfigApplyMs", 2000.0),
+        repeat_ratio=read_number("RetryBudgetRatio", 0.2),
+        repeat_slack=read_number("RetryBudgetSlack", 0.0),
+        repeat_window_s=read_number("BudgetWindowS", 10.0),
+        lease_s=read_seconds("LeaseMs", 3000.0),
+        revoke_s=read_seconds("RevokeMs", 0.0) if is_strict else None,
         engines_check_fences=bool(
             reader.read("Bounds", "RequireFence", bool, False) or False
         ),
--- a/src/robinspindle/platform/store.py
+++ b/src/robinspindle/platform/store.py
@@ -33,10 +33,10 @@
 """Response header that names the store era."""
 
 CALL_TIMEOUT_S = 1.0
-"""Longest wait for a response to begin, beyond the wait that the request asks for, and
-for each further piece of it, seconds. The store responds within a few milliseconds, or
-a few hundred when it is slow. On a saturated link of 6 Mbit/s, pieces arrived within 80
-ms of each other."""
+"""Longest wait for the start of a response, beyond the time for which a read may be
+held, and for each further piece, seconds. The store responds within a few milliseconds,
+or a few hundred when it is slow. On a saturated link of 6 Mbit/s, pieces arrived at
+most 80 ms apart."""
 
 CONNECT_TIMEOUT_S = 0.5
 """Longest wait for a new connection to the store, seconds."""
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class KeyedRecord:
-    """A record of a key; a value of None removes the key."""
+    """A key and its new value; a value of None removes the key."""
 
     key: str
     value: bytes | None
--- a/tests/platform/deployment.py
+++ b/tests/platform/deployment.py
@@ -180,7 +180,8 @@
     Args:
         tmp_path: Where the gateway's log is written.
         configured: Whether a configuration is applied first.
-        pledges: The service levels promised to the operator; generous ones if None.
+        pledges: The service levels promised to the operator; if None, the defaults
+            with a large retry budget.
         prepare: Awaited with the store before the gateway starts.
         duties: Settings of the singleton duties; None for none.
     """
--- a/tests/platform/test_ordering.py
+++ b/tests/platform/test_ordering.py
@@ -57,7 +57,7 @@
     run(scenario())
 
 
-def test_a_gateway_waits_until_another_ones_claim_has_expired(tmp_path):
+def test_a_gateway_waits_until_the_claim_of_another_has_expired(tmp_path):
     async def scenario():
         async with deploy(tmp_path) as d:
             await d.add("p1", "lm", "prefill")
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -211,7 +211,7 @@
 
 
 @pytest.mark.parametrize("path", ["/digest/x", "/safe/x"])
-def test_repeatable_requests_are_taken_away_from_a_target_that_times_out(
+def test_repeatable_requests_are_sent_elsewhere_if_their_target_times_out(
     tmp_path, path
 ):
     async def scenario():
--- a/tests/platform/test_prompts.py
+++ b/tests/platform/test_prompts.py
@@ -79,7 +79,7 @@
                 "digest", "stream", "lm", TargetLatencyMs=20_000, TimeoutMs=30_000
             )
             await d.configure(version=2, routes=[slow])
-            # Prefills take 2 s, so the prefill engine does not time out yet.
+            # The estimate for this prefill is 2 s, so the engine does not time out yet.
             prefill_model = d.gateway.fleet.find_pace("lm", True)
             for _ in range(50):
                 prefillmodel.note_sample(prefill_model, PrefillSample(2000, 0, 0.4))
--- a/tests/platform/test_restarts.py
+++ b/tests/platform/test_restarts.py
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize("garbage", GARBAGE, ids=range(len(GARBAGE)))
-def test_invalid_entries_name_no_target_and_the_others_stay(tmp_path, garbage):
+def test_invalid_entries_are_ignored_and_other_targets_stay(tmp_path, garbage):
     async def scenario():
         async with deploy(tmp_path) as d:
             await start_lifetime(d, "i1", 5)
@@ -138,7 +138,7 @@
     run(scenario())
 
 
-def test_invalid_entries_at_the_start_do_no_harm(tmp_path):
+def test_a_gateway_serves_requests_if_an_entry_is_invalid_at_its_start(tmp_path):
     async def prepare(store):
         await store.put("keyed.servers", "other", GARBAGE[0])
 
--- a/tests/platform/test_scaler.py
+++ b/tests/platform/test_scaler.py
@@ -43,7 +43,7 @@
     return calls
 
 
-def test_demanded_targets_are_ordered_under_the_claim_of_one_holder(tmp_path):
+def test_targets_for_a_higher_load_are_ordered_under_the_claim_of_one_holder(tmp_path):
     async def scenario(d, api, replica):
         calls = await hold_many(d, replica, 12)
         await until(lambda: api.orders and api.orders[-1].desired == 4)
--- a/tests/platform/test_slow_links.py
+++ b/tests/platform/test_slow_links.py
@@ -5,11 +5,11 @@
 with links of 6 Mbit/s refused requests for its routes with 404 for the rest of the day.
 
 The store holds a poll for up to 2 s, and the whole call had 3 s. The new version came
-1.9 s after the start of a poll, and its transfer took 1.5 s beside the requests of
-callers, so the call timed out and the received part was discarded. The next call was
-not held, because the store seemed unavailable, and had only 1 s, so neither it nor any
-later call could succeed. One limit applied to silence and to the length of a transfer,
-and each attempt began at the first byte.
+1.9 s after the start of a poll, so 1.1 s were left for a transfer that took 1.5 s
+beside the requests of callers. The call timed out, and the received part was discarded.
+The next call was not held, because the store seemed unavailable, and had only 1 s, so
+neither it nor any later call could succeed. One limit applied to silence and to the
+length of a transfer, and each attempt began at the first byte.
 
 The links were saturated (633 to 658 KB/s), and calls for this topic failed every 1.1 to
 1.7 s on those VMs alone. In a reproduction with 5,600 routes, calls failed with up to
--- a/tests/platform/test_store_eras.py
+++ b/tests/platform/test_store_eras.py
@@ -1,4 +1,4 @@
-"""A store that is restored from a backup and has lost the records since.
+"""A store that is restored from a backup, without the records written after it.
 
 Offsets go back and are assigned again, and only the era in the responses shows that. A
 gateway that ignored the era would continue at an offset that means another record.
--- a/tests/platform/test_workspaces.py
+++ b/tests/platform/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Keys of workspaces: which requests run, and what targets receive of the keys."""
+"""Keys of workspaces: which requests they admit, and that targets never get them."""
 
 import asyncio
 from dataclasses import replace
@@ -54,7 +54,7 @@
 
 
 def list_errors(lines):
-    """List the errors of the configurations that could not be read."""
+    """List the errors of invalid configurations from log lines."""
     return [line["error"] for line in lines if "can't be read" in line.get("text", "")]
 
 
@@ -216,7 +216,10 @@
 
 
 def test_a_disconnected_gateway_accepts_no_key_after_the_revocation_time(tmp_path):
-    """Only requests that need a key get a 503, which has a Retry-After header."""
+    """Only requests that need a key are refused.
+
+    A request with a known key gets a 503 with Retry-After, not a 401.
+    """
     pledges = replace(Pledges(repeat_slack=320.0), revoke_s=1.0)
 
     async def scenario(d):
