--- a/src/robinspindle/core/admission.py
+++ b/src/robinspindle/core/admission.py
@@ -24,7 +24,8 @@
 """An answer is expected to be at most this many times as long as the average."""
 
 MAX_WORK_SHARE = 0.9
-"""A request's own work counts as at most this share of the time left."""
+"""A request's own work counts as at most this share of the time until its deadline. A
+request that needs more is refused only if its wait exceeds the rest of that time."""
 
 MIN_MEASURED_TOKENS = 200
 """Shorter prompts don't update the measured prefill speed, tokens."""
@@ -33,7 +34,8 @@
 """Share of the estimated work that a queued request is assumed to need at least."""
 
 MIN_QUEUE_TIME_S = 0.5
-"""A queued request is not dropped before it has waited this long, seconds."""
+"""A queued request that would miss its deadline is kept for at least this time,
+seconds."""
 
 SMOOTHING_FACTOR = 0.2
 """Weight of a new measurement in a moving average."""
@@ -164,10 +166,10 @@
 
 
 def _update_fastest(fastest: float, seconds: float) -> float:
-    """Return the fastest recent time, which excludes the effect of the target's load.
+    """Return the fastest recent time, which is nearly free of the effect of load.
 
-    The mean time includes the load. If routing used it, a target that was loaded once
-    would get no requests, and without requests its mean would never be corrected.
+    The moving average includes that effect. If routing used it, a target that was
+    loaded once would get no requests, and without them its average would stay high.
     """
     return min(seconds, fastest + FASTEST_RISE_FACTOR * (seconds - fastest))
 
@@ -210,7 +212,7 @@
 def estimate_wait(
     ahead: Iterable[QueuedRequest], remaining: list[float], slots: int
 ) -> float:
-    """Estimate how long a request waits for a slot, seconds.
+    """Estimate how long a request will wait for a slot, seconds.
 
     Args:
         ahead: Requests that are ahead of it in the queue.
@@ -225,7 +227,7 @@
 
 
 def estimate_prefill_wait(ahead: Iterable[QueuedRequest], pending_s: float) -> float:
-    """Estimate how long a long prompt waits for its prefill, seconds.
+    """Estimate how long a long prompt will wait for its prefill, seconds.
 
     Long prompts are prefilled one at a time. Several at once would only share the
     engine, occupy slots that answers could use, and delay each other's first token.
@@ -240,7 +242,10 @@
 def make_queue_key(
     queued_request: QueuedRequest, runs_by_workspace: dict[str, int]
 ) -> tuple:
-    """Make the sort key of the queue: priority, fairness, then latest start time.
+    """Make the sort key of the queue; the request with the lowest key runs next.
+
+    Requests are ordered by priority, then by the number of running requests of their
+    workspace, then by the latest start that still meets the deadline.
 
     Args:
         queued_request: The request.
@@ -294,7 +299,7 @@
 
 
 def cannot_meet_deadline(queued_request: QueuedRequest, now: float) -> bool:
-    """Whether a queued request can no longer meet its deadlines."""
+    """Whether a queued request can no longer meet one of its deadlines."""
     latest = min(
         queued_request.deadline - queued_request.service_s * ESTIMATE_DISCOUNT,
         queued_request.first_token_deadline
--- a/src/robinspindle/core/agentcontrol.py
+++ b/src/robinspindle/core/agentcontrol.py
@@ -114,7 +114,7 @@
         agent: The agent's state.
         now: The current time, monotonic seconds.
         number: Number of the order.
-        found: The engine's new description of itself, if known.
+        found: The engine's new description of itself, or None if it is not known.
         reason: Why the order failed, empty if it took effect.
     """
     if found is not None:
--- a/src/robinspindle/core/claims.py
+++ b/src/robinspindle/core/claims.py
@@ -92,7 +92,7 @@
     """A key that is claimed.
 
     Attributes:
-        offset: Offset of the winning claim in the claims stream.
+        offset: Offset of the winning claim's batch in the claims stream.
         claim: The winning claim.
         outcome: The outcome of its run, or None if it has not ended.
     """
@@ -107,7 +107,7 @@
     """The claimed keys, from the claims stream.
 
     Attributes:
-        offset: Offset of the last applied record.
+        offset: Offset of the last applied batch, -1 before the first.
         claimed: Claimed keys, oldest first.
     """
 
@@ -116,20 +116,20 @@
 
 
 def encode_claims(records: list[AnyClaim]) -> bytes:
-    """Encode claim records as one entry of the claims stream."""
+    """Encode claim records as one batch of the claims stream."""
     return msgspec.msgpack.encode(ClaimBatch(records=tuple(records)))
 
 
 def apply_claims(table: ClaimTable, offset: int, data: bytes) -> tuple[AnyClaim, ...]:
-    """Apply one entry of the claims stream to the table, in place.
+    """Apply one batch of the claims stream to the table, in place.
 
     Args:
         table: The claimed keys.
-        offset: Offset of the entry.
-        data: Its bytes.
+        offset: Offset of the batch.
+        data: The encoded batch.
 
     Returns:
-        The claim records in the entry, in order. Empty if the entry was applied
+        The claim records of the batch, in order. Empty if the batch was applied
         before or can't be decoded.
     """
     if offset <= table.offset:
--- a/src/robinspindle/core/dispatch.py
+++ b/src/robinspindle/core/dispatch.py
@@ -3,8 +3,8 @@
 Each entry has one `Dispatcher`. The functions here handle requests, messages from
 agents, replicated state and claims, and return effects. Entries share only the log.
 One of the functions must be called at least every `TICK_S`. After a much longer
-interval the entry is assumed to have been paused, without receiving messages in that
-time.
+interval the entry's process is assumed to have been paused and to have received no
+messages in that time.
 """
 
 from collections.abc import Callable
@@ -119,7 +119,7 @@
 
 
 def handle_disconnect(entry: Dispatcher, request: str) -> list[Effect]:
-    """Handle the disconnect of a caller, which may resume its stream for a while."""
+    """Handle the disconnect of a caller, which has `DISCONNECT_GRACE_S` to resume."""
     active = entry.active_requests.get(request)
     return drop_request(entry, active, DISCONNECT_GRACE_S) if active else []
 
--- a/src/robinspindle/core/failover.py
+++ b/src/robinspindle/core/failover.py
@@ -128,7 +128,7 @@
 
 
 def send_run_query(active: ActiveRequest) -> Effect:
-    """Query a run without events, because its start or its events may be lost."""
+    """Query the agent about a run, because its start or its events may be lost."""
     attach = Attach(
         request=active.work.request,
         run=active.run,
--- a/src/robinspindle/core/idempotency.py
+++ b/src/robinspindle/core/idempotency.py
@@ -2,7 +2,7 @@
 
 A run is started only after the entry has read in the log that its claim has won, so an
 abandoned claim has no run. The start of an attempt is sent once and never repeated. If
-its outcome is in doubt afterwards, the caller is told that the outcome is unknown.
+its outcome is in doubt afterwards, the request is refused as ``outcome_unknown``.
 """
 
 from robinspindle.core.activerequests import (
--- a/src/robinspindle/core/placement.py
+++ b/src/robinspindle/core/placement.py
@@ -55,7 +55,8 @@
     """Offer a request to the best target that has not refused it yet.
 
     A refused offer costs one round trip and no work at the target, so it doesn't use
-    the retry budget. The number of refused offers is limited instead.
+    the retry budget. The number of refused offers is limited instead. Refusals of
+    stopping targets are not counted among these, so the attempts are limited too.
     """
     candidates = [
         candidate
--- a/src/robinspindle/core/routing.py
+++ b/src/robinspindle/core/routing.py
@@ -2,7 +2,7 @@
 
 A target's report is up to one heartbeat interval old. An entry knows its own requests
 in flight at the target exactly, but not what other entries have sent since the report.
-The agent, which may refuse an offer, makes up for that.
+If the target turns out to be too busy, its agent refuses the offer.
 """
 
 import random
@@ -77,21 +77,23 @@
     other entries and the service time come from the report, which may be outdated.
     """
     report = candidate.report
-    own_s = estimate_service(candidate, work)
+    service_s = estimate_service(candidate, work)
     reported = report.running + report.queued
     occupancy = max(0, reported - report.own) + candidate.in_flight
-    mean_service_s = report.wait_s * report.slots / reported if report.wait_s else own_s
+    mean_service_s = (
+        report.wait_s * report.slots / reported if report.wait_s else service_s
+    )
     wait = max(0, occupancy + 1 - report.slots) * mean_service_s / report.slots
-    others_s = max(0.0, report.prefill_wait_s - report.own_prefill_s)
-    pending_s = others_s + candidate.pending_prefill_s
+    others_prefill_s = max(0.0, report.prefill_wait_s - report.own_prefill_s)
+    pending_prefill_s = others_prefill_s + candidate.pending_prefill_s
     if is_long_prefill(work.prompt_tokens * report.prefill_s):
-        wait = max(wait, pending_s)
+        wait = max(wait, pending_prefill_s)
     else:
         # During the prefill of a long prompt, an engine runs fewer decode steps.
-        wait += PREFILL_INTERFERENCE * min(pending_s, own_s)
+        wait += PREFILL_INTERFERENCE * min(pending_prefill_s, service_s)
     # The penalty outweighs the noise in the speeds that the targets measure.
     penalty = OCCUPANCY_PENALTY * min(1.0, occupancy / report.slots)
-    return wait + own_s * (1.0 + penalty) + 2 * candidate.zone_delay_s
+    return wait + service_s * (1.0 + penalty) + 2 * candidate.zone_delay_s
 
 
 def count_compared_targets(targets: int, entries: int) -> int:
--- a/src/robinspindle/core/runs.py
+++ b/src/robinspindle/core/runs.py
@@ -15,6 +15,7 @@
 QUEUED = "queued"
 RUNNING = "running"
 ENDED = "ended"
+
 RESERVATION_TIMEOUT_S = 5.0
 """A reservation without a start expires after this time, seconds."""
 
@@ -72,7 +73,7 @@
         runs: Runs by request id and attempt.
         prefixes: Digests of the prompt prefixes in the engine's KV cache. The engine's
             cache events arrive with a delay.
-        prefix_version: Version of that list, 0 for the initial empty list.
+        prefix_version: Version of ``prefixes``, 0 for the initial empty list.
         is_stopping: Whether the agent's process was asked to stop.
         last_heard_at: When the last message from each entry arrived, monotonic seconds.
         started: Request id and attempt of each start of a request that may not be
@@ -170,7 +171,7 @@
 def make_queued_request(
     agent: AgentState, now: float, offer: Offer
 ) -> admission.QueuedRequest:
-    """Make the queue data of an offered request, with estimates for this target."""
+    """Convert an offer into a `QueuedRequest`, with estimates for this target."""
     return admission.QueuedRequest(
         work=offer.work,
         deadline=now + offer.left_s,
