--- a/tests/core/generationplay.py
+++ b/tests/core/generationplay.py
@@ -37,7 +37,7 @@
 )
 from soak.sizeaccount import Ended, SizeAccount
 from standins.prompts import Kind, Length
-from tests.core.loadplay import Load, Outcome, _Play
+from tests.core.loadplay import Load, Outcome, _Simulation
 
 SERVICE = "s"
 
@@ -149,7 +149,7 @@
     return SizeAccount(outcome.ended).find_rates()
 
 
-class _AnswerSimulation(_Play):
+class _AnswerSimulation(_Simulation):
     def __init__(self, load, rng):
         super().__init__(load, rng)
         self.outcome = Answered()
@@ -173,8 +173,8 @@
 
     def run(self):
         for kind in self.kinds:
-            self.env.process(self._come(kind))
-        self.env.process(self._tell())
+            self.env.process(self._generate_requests(kind))
+        self.env.process(self._send_updates())
         self.env.process(self._report_answers())
         max_limit_s = max(answers.limit_s for answers in self.load.answers.values())
         self.env.run(until=self.load.for_s + max_limit_s + 1.0)
@@ -194,12 +194,12 @@
             expected_answer_tokens=max(1, round(guess * tokens)),
         )
 
-    def _describe(self, gateway, kind, prompt):
+    def _make_planning_context(self, gateway, kind, prompt):
         stats, route = gateway.stats, kind.name
         limit_s = self.load.answers[route].limit_s
         asked = route, prompt.expected_answer_tokens
         note_arrival(gateway.answer_fairness, self.env.now, *asked)
-        context = super()._describe(gateway, kind, prompt)
+        context = super()._make_planning_context(gateway, kind, prompt)
         return replace(
             context,
             gap_s=self.load.answers[route].gap_s,
@@ -231,7 +231,7 @@
     def _report_answers(self):
         """Report to each gateway how many answers of the others are in flight."""
         while True:
-            yield self.env.timeout(self.load.news_s)
+            yield self.env.timeout(self.load.update_interval_s)
             for index in range(len(self.names)):
                 request_counts = [g.pairs[index][0].in_flight for g in self.gateways]
                 long = [g.pairs[index][1].own_long_answers for g in self.gateways]
@@ -249,7 +249,7 @@
         decode_engine.prefill_s += self.env.now - decode_engine.prefill_started_at
         decode_engine.prefill_started_at = None
 
-    def _answer(self, gateway, kind, prompt, plan, came_at):
+    def _answer(self, gateway, kind, prompt, plan, arrived_at):
         env, answers = self.env, self.load.answers[kind.name]
         self._note_expected(gateway, kind, prompt)
         prefilled_at = env.now
@@ -257,10 +257,10 @@
         target = plan.target
         if plan.prefill_target is not None:
             target = choose_decode_target(
-                gateway.pairs, "a", env.now, self.load.news_s, self.rng,
+                gateway.pairs, "a", env.now, self.load.update_interval_s, self.rng,
                 gateway.stats.has_pause_sensitive(SERVICE),
             )  # fmt: skip
-            yield env.timeout(self.load.way_s / 2 + 0.002)
+            yield env.timeout(self.load.network_delay_s / 2 + 0.002)
         name = target.announced.lifetime
         engine = next(e for t, e in gateway.pairs if t is target)
         target.in_flight += 1
@@ -269,8 +269,8 @@
         if plan.prefill_target is not None and level == LATE_LEVEL:
             level = find_rank_level(kind.rank)
         events = yield from self._generate(
-            name, engine, kind, prompt, REQUEST_PRIORITIES[level], came_at,
-            self._make_pause_recorder(engine, kind, prompt, is_long, came_at),
+            name, engine, kind, prompt, REQUEST_PRIORITIES[level], arrived_at,
+            self._make_pause_recorder(engine, kind, prompt, is_long, arrived_at),
         )  # fmt: skip
         engine.own_long_answers -= is_long
         target.in_flight -= 1
@@ -290,9 +290,9 @@
         if events.is_whole:
             asked = kind.name, prompt.expected_answer_tokens
             note_served(gateway.answer_fairness, env.now, *asked)
-        self._note_answer(kind, prompt, events, came_at, answers)
+        self._note_answer(kind, prompt, events, arrived_at, answers)
 
-    def _make_pause_recorder(self, engine, kind, prompt, is_long, came_at):
+    def _make_pause_recorder(self, engine, kind, prompt, is_long, arrived_at):
         """Make a callback that records pauses as a gateway does."""
         answers, tokens = self.load.answers[kind.name], self.load.making.event_tokens
 
@@ -303,20 +303,20 @@
                 note_short_pause(engine, pause_s, answers.gap_s)
                 note_event(engine, self.env.now, pause_s)
                 return
-            left_s = came_at + answers.limit_s - self.env.now
+            left_s = arrived_at + answers.limit_s - self.env.now
             allowed = find_allowed_pause(prompt, made, tokens, left_s, answers.gap_s)
             note_long_pause(engine, pause_s, allowed)
             note_event(engine, self.env.now, pause_s)
 
         return note
 
-    def _generate(self, name, engine, kind, prompt, urgency, came_at, note):
+    def _generate(self, name, engine, kind, prompt, urgency, arrived_at, note):
         """Generate an answer until it is complete or its caller leaves."""
         env, decode_engine = self.env, self.decode_engines[name]
         answers = self.load.answers[kind.name]
         made = AnswerProgress()
         with decode_engine.slots.request(priority=urgency) as slot:
-            patience_s = came_at + kind.patience_s - env.now
+            patience_s = arrived_at + kind.patience_s - env.now
             yield slot | env.timeout(max(0.0, patience_s))
             if not slot.triggered:
                 return made
@@ -326,14 +326,14 @@
             last_at, total = env.now, int(prompt.model)
             while made.made < total:
                 yield from self._wait_for_event(name, decode_engine)
-                if env.now > came_at + answers.limit_s:
+                if env.now > arrived_at + answers.limit_s:
                     break
                 made.made += 1
                 if made.first_at is None:
                     made.first_at = env.now
                     if has_pauses:
                         note_answer_begun(engine, env.now)
-                    if env.now > came_at + kind.patience_s:
+                    if env.now > arrived_at + kind.patience_s:
                         break
                 else:
                     made.longest_s = max(made.longest_s, env.now - last_at)
@@ -363,11 +363,11 @@
         answer_tokens = int(prompt.model) * self.load.making.event_tokens
         return prompt.tokens + ANSWER_TOKEN_WEIGHT * answer_tokens
 
-    def _note_answer(self, kind, prompt, events, came_at, answers):
+    def _note_answer(self, kind, prompt, events, arrived_at, answers):
         outcome = self.outcome
         size = self._find_size(prompt)
         in_time = (
-            events.is_whole and events.first_at - came_at <= kind.latency_objective_s
+            events.is_whole and events.first_at - arrived_at <= kind.latency_objective_s
         )
         if events.is_whole and events.longest_s > answers.gap_s:
             outcome.paused += 1
--- a/tests/core/loadplay.py
+++ b/tests/core/loadplay.py
@@ -42,13 +42,13 @@
 from standins.prompts import SKEW, Kind, Length, draw_parts
 
 TOKENS_PER_S = 307_000
-PAIRS_S_PER_M = 0.147e-3
+S_PER_MILLION_PAIRS = 0.147e-3
 """Speed of a prefill-only engine: tokens per second, seconds per million pairs."""
 
-HALF = 2.0
+DECODE_ENGINE_SLOWDOWN = 2.0
 """Ratio of a decode engine's prefill times to those of a prefill-only engine."""
 
-SLOW = 3.0
+SLOW_ENGINE_SLOWDOWN = 3.0
 """Ratio of a slow engine's prefill times to those of others."""
 
 
@@ -59,31 +59,32 @@
     Attributes:
         per_s: Requests per second.
         for_s: Time for which requests arrive, seconds.
-        readers: Number of prefill-only engines.
-        hosts: Number of decode engines.
+        prefill_engines: Number of prefill-only engines.
+        decode_engines: Number of decode engines.
         gateways: Number of gateways; each request goes to a random one.
-        way_s: Network delay of a prompt to an engine and its answer back, seconds.
+        network_delay_s: Network delay of a prompt to an engine and of its answer back,
+            together, seconds.
         latency_objective_s: Latency objective of the first event, seconds.
         patience_s: Timeout of callers, seconds.
-        news_s: Interval of the updates between gateways, seconds.
-        documents: Number of shared documents that prompts contain one of.
+        update_interval_s: Interval of the updates between gateways, seconds.
+        documents: Number of shared documents; each prompt contains one of them.
         kinds: Kinds of requests to simulate instead of the one kind that the fields
             above describe.
         tokens_per_s: Prefill speed of a prefill-only engine, tokens per second.
         cache_tokens: Capacity of an engine's KV cache, tokens.
-        gives_turns: Whether underserved sizes of prompts are preferred.
-        slow: Names of the engines that take three times as long.
+        gives_turns: Whether prompts of underserved sizes are preferred.
+        slow: Names of the engines whose prefills take three times as long.
     """
 
     per_s: float
     for_s: float = 10.0
-    readers: int = 7
-    hosts: int = 10
+    prefill_engines: int = 7
+    decode_engines: int = 10
     gateways: int = 12
-    way_s: float = 0.025
+    network_delay_s: float = 0.025
     latency_objective_s: float = 0.218
     patience_s: float = 2.0
-    news_s: float = 0.1
+    update_interval_s: float = 0.1
     documents: int = 2000
     kinds: tuple[Kind, ...] = ()
     tokens_per_s: float = TOKENS_PER_S
@@ -101,7 +102,7 @@
         in_time: Requests whose first event met the deadline.
         late: Requests that were served later.
         refused: Requests that were refused, or whose callers gave up.
-        busy_s: Time for which all engines were busy together, seconds.
+        busy_s: Sum of the times for which the engines were busy, seconds.
         estimated_busy_s: The gateways' estimate of `busy_s`, seconds.
         ended: The result of each request, if several kinds are simulated.
     """
@@ -123,22 +124,22 @@
     prompt_fairness: SizeFairness = field(default_factory=SizeFairness)
 
 
-def play(load: Load, seed: int = 1) -> Outcome:
+def simulate(load: Load, seed: int = 1) -> Outcome:
     """Simulate a load."""
-    return _Play(load, random.Random(seed)).run()
+    return _Simulation(load, random.Random(seed)).run()
 
 
-class _Play:
+class _Simulation:
     def __init__(self, load, rng):
         self.load, self.rng = load, rng
         self.env = simpy.Environment()
         self.outcome = Outcome()
-        self.names = [f"p{n}" for n in range(load.readers)]
-        self.names += [f"d{n}" for n in range(load.hosts)]
+        self.names = [f"p{n}" for n in range(load.prefill_engines)]
+        self.names += [f"d{n}" for n in range(load.decode_engines)]
         self.servers = {
             name: simpy.PriorityResource(self.env, 1) for name in self.names
         }
-        self.held = {
+        self.real_engines = {
             name: make_engine(name[0] == "p", load.cache_tokens) for name in self.names
         }
         # Gateways exchange the sums of their prefill models, so all share one model.
@@ -153,33 +154,33 @@
     def _make_gateway(self):
         pairs = []
         for number, name in enumerate(self.names):
-            reads = name[0] == "p"
-            role = "prefill" if reads else "decode"
+            is_prefill = name[0] == "p"
+            role = "prefill" if is_prefill else "decode"
             zone = "abcde"[number % 5]
             announced = Announcement(name, "s", f"{name}:1", zone, 24, role=role)
             engine = make_engine(
-                reads, self.load.cache_tokens, self.prefill_models[reads]
+                is_prefill, self.load.cache_tokens, self.prefill_models[is_prefill]
             )
             pairs.append((Target(announced), engine))
         return Gateway(pairs)
 
     def run(self):
         for kind in self.kinds:
-            self.env.process(self._come(kind))
-        self.env.process(self._tell())
+            self.env.process(self._generate_requests(kind))
+        self.env.process(self._send_updates())
         patience_s = max(kind.patience_s for kind in self.kinds)
         self.env.run(until=self.load.for_s + patience_s + 1.0)
         return self.outcome
 
-    def _come(self, kind):
+    def _generate_requests(self, kind):
         while self.env.now < self.load.for_s:
             yield self.env.timeout(self.rng.expovariate(kind.per_s))
             self.env.process(self._serve(self.rng.choice(self.gateways), kind))
 
-    def _tell(self):
+    def _send_updates(self):
         """Send each gateway the placements and the summed backlogs of all others."""
         while True:
-            yield self.env.timeout(self.load.news_s)
+            yield self.env.timeout(self.load.update_interval_s)
             for author, engine_name, prompt, plan in self.placed:
                 for gateway in self.gateways:
                     if gateway is not author:
@@ -194,8 +195,8 @@
                 total = [sum(level) for level in zip(*own, strict=True)]
                 for gateway in self.gateways:
                     engine = gateway.pairs[index][1]
-                    mine = engine.own_backlog_s
-                    others = [t - m for t, m in zip(total, mine, strict=True)]
+                    own_s = engine.own_backlog_s
+                    others = [t - m for t, m in zip(total, own_s, strict=True)]
                     note_peer_backlog(engine, "others", others)
 
     def _make_prompt(self, kind):
@@ -211,13 +212,13 @@
             parts = draw_parts(kind, rng)
         return Prompt("m", parts, sum(part.tokens for part in parts), 92)
 
-    def _describe(self, gateway, kind, prompt):
+    def _make_planning_context(self, gateway, kind, prompt):
         """Describe what a placement depends on besides the engines."""
         return PlanningContext(
             self.env.now, kind.latency_objective_s, kind.latency_objective_s, 0.15, "a",
             rank=kind.rank, has_pause_sensitive=False, handoff_s=0.01,
             late_handoff_s=0.01,
-            token_transfer_s=1.2e-7, age_s=self.load.news_s, rng=self.rng,
+            token_transfer_s=1.2e-7, age_s=self.load.update_interval_s, rng=self.rng,
         )  # fmt: skip
 
     def _find_max_slot_wait_s(self, kind):
@@ -227,9 +228,9 @@
     def _serve(self, gateway, kind):
         env, load, outcome = self.env, self.load, self.outcome
         outcome.asked += 1
-        came_at = env.now
+        arrived_at = env.now
         prompt = self._make_prompt(kind)
-        at = self._describe(gateway, kind, prompt)
+        at = self._make_planning_context(gateway, kind, prompt)
         prompt_fairness, asked = gateway.prompt_fairness, (kind.name, prompt.tokens)
         note_arrival(prompt_fairness, env.now, *asked)
         at = replace(
@@ -253,11 +254,13 @@
         self.placed.append((gateway, engine_name, prompt, plan))
         placed = engine.placed
         note_placed(engine, prompt.parts, env.now + plan.wait_s + plan.prefill_s)
-        yield from self._read(engine_name, prompt, plan, came_at + kind.patience_s)
+        yield from self._prefill(
+            engine_name, prompt, plan, arrived_at + kind.patience_s
+        )
         left = engine.own_backlog_s[plan.level] - plan.prefill_s
         engine.own_backlog_s[plan.level] = max(0.0, left)
         outcome.estimated_busy_s += plan.prefill_s
-        seconds = env.now - came_at - plan.fetch_s
+        seconds = env.now - arrived_at - plan.fetch_s
         context = prompt.tokens - plan.uncached_tokens
         measured = PrefillSample(plan.uncached_tokens, context, seconds)
         was_alone = alone and engine.placed == placed
@@ -265,55 +268,55 @@
         if not was_alone and plan.level < LATE_LEVEL:
             prefill_s = estimate_prefill_s(engine, plan.uncached_tokens, context)
             note_queued_prefill(engine, seconds, plan.wait_s + prefill_s)
-        yield from self._answer(gateway, kind, prompt, plan, came_at)
+        yield from self._answer(gateway, kind, prompt, plan, arrived_at)
 
-    def _answer(self, gateway, kind, prompt, plan, came_at):
+    def _answer(self, gateway, kind, prompt, plan, arrived_at):
         """Begin the answer to a prefilled prompt; its other events take no time."""
         env = self.env
         if plan.prefill_target is not None:
-            host = choose_decode_target(
-                gateway.pairs, "a", env.now, self.load.news_s, self.rng
+            decode_target = choose_decode_target(
+                gateway.pairs, "a", env.now, self.load.update_interval_s, self.rng
             )
-            host.in_flight += 1
-            yield env.timeout(self.load.way_s / 2 + 0.002)
-            host.in_flight -= 1
-        is_served = env.now - came_at <= kind.patience_s
+            decode_target.in_flight += 1
+            yield env.timeout(self.load.network_delay_s / 2 + 0.002)
+            decode_target.in_flight -= 1
+        is_served = env.now - arrived_at <= kind.patience_s
         if is_served != (plan.level < LATE_LEVEL):
             note = note_served if is_served else note_not_served
             note(gateway.prompt_fairness, env.now, kind.name, prompt.tokens)
-        self._note_end(kind, prompt, env.now - came_at)
+        self._note_end(kind, prompt, env.now - arrived_at)
 
-    def _read(self, engine_name, prompt, plan, gives_up_at):
+    def _prefill(self, engine_name, prompt, plan, gives_up_at):
         """Prefill what is neither in the engine's own cache nor in the source's."""
         request_priority = REQUEST_PRIORITIES[plan.level]
-        env, held = self.env, self.held[engine_name]
-        yield env.timeout(self.load.way_s / 2)
-        with self.servers[engine_name].request(priority=request_priority) as turn:
-            yield turn
+        env, real_engine = self.env, self.real_engines[engine_name]
+        yield env.timeout(self.load.network_delay_s / 2)
+        with self.servers[engine_name].request(priority=request_priority) as server:
+            yield server
             # With several kinds, requests of callers that gave up are dropped, as on
             # real engines.
             if not self.load.kinds or env.now < gives_up_at:
                 yield from self._run_prefill(
                     engine_name, self._find_busy_s(engine_name, prompt, plan)
                 )
-                note_placed(held, prompt.parts)
-        yield env.timeout(self.load.way_s / 2)
+                note_placed(real_engine, prompt.parts)
+        yield env.timeout(self.load.network_delay_s / 2)
 
     def _run_prefill(self, engine_name, busy_s):
         """Keep an engine busy with one prompt."""
         yield self.env.timeout(busy_s)
 
     def _find_busy_s(self, engine_name, prompt, plan):
-        held = self.held[engine_name]
-        cached = count_cached(held, prompt)
+        real_engine = self.real_engines[engine_name]
+        cached = count_cached(real_engine, prompt)
         if plan.cache_source is not None:
-            there = self.held[plan.cache_source.announced.lifetime]
-            cached = max(cached, count_cached(there, prompt))
+            source = self.real_engines[plan.cache_source.announced.lifetime]
+            cached = max(cached, count_cached(source, prompt))
         new = prompt.tokens - cached
         pairs_m = new * (cached + new / 2) / 1e6
-        busy_s = new / self.load.tokens_per_s + pairs_m * PAIRS_S_PER_M
-        busy_s *= 1.0 if held.prefill_only else HALF
-        busy_s *= SLOW if engine_name in self.load.slow else 1.0
+        busy_s = new / self.load.tokens_per_s + pairs_m * S_PER_MILLION_PAIRS
+        busy_s *= 1.0 if real_engine.prefill_only else DECODE_ENGINE_SLOWDOWN
+        busy_s *= SLOW_ENGINE_SLOWDOWN if engine_name in self.load.slow else 1.0
         self.outcome.busy_s += busy_s
         return busy_s
 
--- a/tests/core/test_generation.py
+++ b/tests/core/test_generation.py
@@ -31,8 +31,8 @@
     load = make_matchmaking_load(
         make_matchmaking_kinds(times, 9 / 21),
         for_s=20.0,
-        readers=4,
-        hosts=5,
+        prefill_engines=4,
+        decode_engines=5,
         gateways=5,
         slow=SLOW,
     )
@@ -85,7 +85,12 @@
     retries.
     """
     load = make_dispatch_load(
-        2.5, for_s=20.0, readers=2, hosts=4, gateways=4, slow=frozenset(["d0", "d1"])
+        2.5,
+        for_s=20.0,
+        prefill_engines=2,
+        decode_engines=4,
+        gateways=4,
+        slow=frozenset(["d0", "d1"]),
     )
     outcomes = [simulate_answers(load, seed) for seed in (0, 1)]
     assert sum_share(outcomes, "in_time") > 0.3
--- a/tests/core/test_loadplay.py
+++ b/tests/core/test_loadplay.py
@@ -5,18 +5,18 @@
 from robinspindle.core import estimates, prefillplacement
 from robinspindle.core.engines import note_unqueued_prefill
 from tests.core import loadplay
-from tests.core.loadplay import Load, play
+from tests.core.loadplay import Load, simulate
 
 SEEDS = (1, 2)
 
 
 def share_in_time(per_s, **more):
-    outcomes = [play(Load(per_s=per_s, for_s=4.0, **more), seed) for seed in SEEDS]
+    outcomes = [simulate(Load(per_s=per_s, for_s=4.0, **more), seed) for seed in SEEDS]
     return sum(o.in_time for o in outcomes) / sum(o.asked for o in outcomes)
 
 
 def test_a_load_within_capacity_meets_the_deadlines():
-    outcome = play(Load(per_s=200, for_s=4.0))
+    outcome = simulate(Load(per_s=200, for_s=4.0))
     assert outcome.in_time > 0.96 * outcome.asked
     assert outcome.refused == 0
 
@@ -65,15 +65,15 @@
     The ratio of estimated to actual busy time is 1.2, and 2 with that delay.
     """
     load = Load(per_s=200, for_s=4.0)
-    outcome = play(load)
+    outcome = simulate(load)
     ratio = outcome.estimated_busy_s / outcome.busy_s
     assert ratio < 1.3
     monkeypatch.setattr(estimates, "estimate_busy_s", estimates.estimate_prefill_s)
-    outcome = play(load)
+    outcome = simulate(load)
     assert outcome.estimated_busy_s / outcome.busy_s > ratio + 0.5
 
 
 @pytest.mark.parametrize("gateways", [1, 68])
 def test_the_simulation_loses_no_request(gateways):
-    outcome = play(Load(per_s=300, for_s=2.0, gateways=gateways))
+    outcome = simulate(Load(per_s=300, for_s=2.0, gateways=gateways))
     assert outcome.in_time + outcome.late + outcome.refused == outcome.asked
--- a/tests/core/test_overload.py
+++ b/tests/core/test_overload.py
@@ -17,7 +17,7 @@
 
 from soak.sizeaccount import SizeAccount
 from standins.prompts import make_matchmaking_kinds
-from tests.core.loadplay import Load, play
+from tests.core.loadplay import Load, simulate
 
 PREFILL_ENGINES, DECODE_ENGINES = 13, 8
 
@@ -27,8 +27,8 @@
     load = Load(
         per_s=0.0,
         for_s=12.0,
-        readers=PREFILL_ENGINES,
-        hosts=DECODE_ENGINES,
+        prefill_engines=PREFILL_ENGINES,
+        decode_engines=DECODE_ENGINES,
         gateways=23,
         kinds=make_matchmaking_kinds(times),
         tokens_per_s=64_200,
@@ -36,7 +36,7 @@
         gives_turns=gives_turns,
         **more,
     )
-    outcome = play(load, seed)
+    outcome = simulate(load, seed)
     return SizeAccount(outcome.ended).find_rates()
 
 
