--- a/fuzz/gatewayoracle.py
+++ b/fuzz/gatewayoracle.py
@@ -13,9 +13,9 @@
     GatewayWorld,
     make_gateway_world,
 )
-from robinspindle.core.targets import RETURN_S
+from robinspindle.core.targets import REAPPEARANCE_S
 
-SETTLED_S = HOLD_S + RETURN_S
+SETTLED_S = HOLD_S + REAPPEARANCE_S
 """After this a missing entry is believed, seconds, also soon after an outage."""
 
 WEIGHTS = {"pass time": 6, "read": 6, "serve": 6, "claim": 4, "order": 4}
--- a/src/robinspindle/core/targets.py
+++ b/src/robinspindle/core/targets.py
@@ -12,7 +12,7 @@
 from robinspindle.core.lifetimes import find_id, is_later
 from robinspindle.core.silence import Liveness
 
-RETURN_S = 2.0
+REAPPEARANCE_S = 2.0
 """Time after the store recovers within which expired entries may reappear, seconds; the
 platform guarantees it."""
 
@@ -108,7 +108,7 @@
     targets: dict[str, Target] = field(default_factory=dict)
     newest_lifetimes: OrderedDict[str, str] = field(default_factory=OrderedDict)
     unavailable_since: float | None = None
-    recovered_at: float = -RETURN_S
+    recovered_at: float = -REAPPEARANCE_S
     is_list_read: bool = False
     read_at: float = 0.0
     ended_lifetimes: OrderedDict[str, None] = field(default_factory=OrderedDict)
@@ -246,7 +246,7 @@
     missing = [t for t in list_lifetimes(directory, id) if t.gone_at is None]
     for target in missing:
         target.gone_at = max(
-            now + directory.missing_grace_s, directory.recovered_at + RETURN_S
+            now + directory.missing_grace_s, directory.recovered_at + REAPPEARANCE_S
         )
     return bool(missing)
 
@@ -278,8 +278,8 @@
 def note_store_restored(directory: Directory, now: float) -> None:
     """Record that the store was restored from a backup.
 
-    Entries that it lost are written again within `RETURN_S`. Entries of targets that
-    have ended since the backup reappear in it for a while.
+    Entries that it lost are written again within `REAPPEARANCE_S`. Entries of targets
+    that have ended since the backup reappear in it for a while.
     """
     directory.recovered_at = now
     directory.is_restored = True
--- a/tests/core/test_silence.py
+++ b/tests/core/test_silence.py
@@ -60,15 +60,15 @@
 
 
 def test_requests_that_may_be_sent_elsewhere_are_listed():
-    left = []
+    abandoned = []
     liveness = Liveness()
     liveness.expected = {
         ExpectedResponse(0.0, 0.6),
-        ExpectedResponse(0.0, 0.6, lambda: left.append("resumable")),
+        ExpectedResponse(0.0, 0.6, lambda: abandoned.append("resumable")),
     }
-    for leave in silence.list_abandon_callbacks(liveness):
-        leave()
-    assert left == ["resumable"]
+    for abandon in silence.list_abandon_callbacks(liveness):
+        abandon()
+    assert abandoned == ["resumable"]
 
 
 def test_timeouts_grow_with_the_planned_time():
@@ -79,15 +79,17 @@
 
 
 def test_a_long_overdue_answer_is_lost_though_data_comes_from_its_target():
-    left = []
+    abandoned = []
     liveness = Liveness(heard_at=9.9)
     liveness.expected = {
-        ExpectedResponse(0.0, 99.0, lambda: left.append("lost"), lost_after_s=1.0),
-        ExpectedResponse(9.5, 99.0, lambda: left.append("young"), lost_after_s=1.0),
+        ExpectedResponse(0.0, 99.0, lambda: abandoned.append("lost"), lost_after_s=1.0),
+        ExpectedResponse(
+            9.5, 99.0, lambda: abandoned.append("young"), lost_after_s=1.0
+        ),
         ExpectedResponse(0.0, 99.0, None, lost_after_s=1.0),
     }
     assert not silence.is_overdue(liveness, 10.0)
-    for leave in silence.list_lost_callbacks(liveness, 10.0):
-        leave()
-    assert left == ["lost"]
+    for abandon in silence.list_lost_callbacks(liveness, 10.0):
+        abandon()
+    assert abandoned == ["lost"]
     assert silence.find_lost_timeout(0.2) > silence.find_first_event_timeout(0.2)
