--- a/tests/core/generationplay.py
+++ b/tests/core/generationplay.py
@@ -132,11 +132,11 @@
 
     Attributes:
         answers: Properties of the answers, by kind.
-        making: The decode model of the engines.
+        decode_model: The decode model of the engines.
     """
 
     answers: dict[str, Answers] = field(default_factory=dict)
-    making: DecodeModel = DecodeModel(64, 0.04, 0.0004, 9)
+    decode_model: DecodeModel = DecodeModel(64, 0.04, 0.0004, 9)
 
 
 def simulate_answers(load: AnswerLoad, seed: int = 1) -> Answered:
@@ -154,7 +154,9 @@
         super().__init__(load, rng)
         self.outcome = Answered()
         self.decode_engines = {
-            name: DecodeEngine(simpy.PriorityResource(self.env, load.making.slots))
+            name: DecodeEngine(
+                simpy.PriorityResource(self.env, load.decode_model.slots)
+            )
             for name in self.names
         }
         for gateway in self.gateways:
@@ -164,7 +166,7 @@
     def _make_gateway(self):
         gateway = super()._make_gateway()
         for target, _ in gateway.pairs:
-            slots = self.load.making.slots
+            slots = self.load.decode_model.slots
             target.announced = replace(target.announced, slots=slots)
         return gateway
 
@@ -182,10 +184,10 @@
 
     def _make_prompt(self, kind):
         prompt = super()._make_prompt(kind)
-        making, answers = self.load.making, self.load.answers[kind.name]
+        decode_model, answers = self.load.decode_model, self.load.answers[kind.name]
         events = answers.events.draw(self.rng)
         guess = events * self.rng.lognormvariate(0.0, GUESS_SPREAD)
-        tokens = making.event_tokens
+        tokens = decode_model.event_tokens
         # `model` carries the actual length, as nothing else reads it.
         return replace(
             prompt,
@@ -208,12 +210,12 @@
             handoff_s=stats.find_handoff_s(SERVICE, self.env.now),
             max_event_s=find_max_event_s(
                 prompt,
-                self.load.making.event_tokens,
+                self.load.decode_model.event_tokens,
                 limit_s,
             ),
             longest_answer_event_s=find_longest_answer_event_s(
                 prompt,
-                self.load.making.event_tokens,
+                self.load.decode_model.event_tokens,
                 stats.events.get(route, 0.0),
                 limit_s,
                 self.load.answers[route].gap_s,
@@ -225,7 +227,7 @@
         )
 
     def _note_expected(self, gateway, kind, prompt):
-        events = prompt.expected_answer_tokens / self.load.making.event_tokens
+        events = prompt.expected_answer_tokens / self.load.decode_model.event_tokens
         gateway.stats.note_expected(kind.name, SERVICE, events)
 
     def _report_answers(self):
@@ -242,8 +244,8 @@
                     )
                     engine.peers_long_answers["others"] = sum(long) - long[number]
 
-    def _run_prefill(self, where, busy_s):
-        decode_engine = self.decode_engines[where]
+    def _run_prefill(self, engine_name, busy_s):
+        decode_engine = self.decode_engines[engine_name]
         decode_engine.prefill_started_at = self.env.now
         yield self.env.timeout(busy_s)
         decode_engine.prefill_s += self.env.now - decode_engine.prefill_started_at
@@ -268,35 +270,38 @@
         level = plan.level
         if plan.prefill_target is not None and level == LATE_LEVEL:
             level = find_rank_level(kind.rank)
-        events = yield from self._generate(
+        progress = yield from self._generate(
             name, engine, kind, prompt, REQUEST_PRIORITIES[level], arrived_at,
             self._make_pause_recorder(engine, kind, prompt, is_long, arrived_at),
         )  # fmt: skip
         engine.own_long_answers -= is_long
         target.in_flight -= 1
-        if plan.prefill_target is not None and events.first_at is not None:
-            seconds = events.first_at - prefilled_at
+        if plan.prefill_target is not None and progress.first_at is not None:
+            seconds = progress.first_at - prefilled_at
             is_late = plan.level == LATE_LEVEL
             gateway.stats.note_handoff(SERVICE, env.now, seconds, is_late)
-        if events.first_at is not None:
-            note_slot_hold(engine, env.now - events.first_at)
-        if events.first_at is not None and events.made > 1:
-            seconds = env.now - events.first_at
-            gateway.stats.note_answer(SERVICE, events.made, seconds)
+        if progress.first_at is not None:
+            note_slot_hold(engine, env.now - progress.first_at)
+        if progress.first_at is not None and progress.event_count > 1:
+            seconds = env.now - progress.first_at
+            gateway.stats.note_answer(SERVICE, progress.event_count, seconds)
         counts = plan.level < LATE_LEVEL
-        if counts != events.is_whole:
-            note = note_served if events.is_whole else note_not_served
+        if counts != progress.is_whole:
+            note = note_served if progress.is_whole else note_not_served
             note(gateway.prompt_fairness, env.now, kind.name, prompt.tokens)
-        if events.is_whole:
+        if progress.is_whole:
             asked = kind.name, prompt.expected_answer_tokens
             note_served(gateway.answer_fairness, env.now, *asked)
-        self._note_answer(kind, prompt, events, arrived_at, answers)
+        self._note_answer(kind, prompt, progress, arrived_at, answers)
 
     def _make_pause_recorder(self, engine, kind, prompt, is_long, arrived_at):
         """Make a callback that records pauses as a gateway does."""
-        answers, tokens = self.load.answers[kind.name], self.load.making.event_tokens
+        answers, tokens = (
+            self.load.answers[kind.name],
+            self.load.decode_model.event_tokens,
+        )
 
-        def note(pause_s, made):
+        def note(pause_s, event_count):
             if not is_long:
                 if answers.events.mean < MIN_PAUSE_SENSITIVE_EVENTS:
                     return
@@ -304,82 +309,87 @@
                 note_event(engine, self.env.now, pause_s)
                 return
             left_s = arrived_at + answers.limit_s - self.env.now
-            allowed = find_allowed_pause(prompt, made, tokens, left_s, answers.gap_s)
+            allowed = find_allowed_pause(
+                prompt, event_count, tokens, left_s, answers.gap_s
+            )
             note_long_pause(engine, pause_s, allowed)
             note_event(engine, self.env.now, pause_s)
 
         return note
 
-    def _generate(self, name, engine, kind, prompt, urgency, arrived_at, note):
+    def _generate(self, name, engine, kind, prompt, request_priority, arrived_at, note):
         """Generate an answer until it is complete or its caller leaves."""
         env, decode_engine = self.env, self.decode_engines[name]
         answers = self.load.answers[kind.name]
-        made = AnswerProgress()
-        with decode_engine.slots.request(priority=urgency) as slot:
+        generated = AnswerProgress()
+        with decode_engine.slots.request(priority=request_priority) as slot:
             patience_s = arrived_at + kind.patience_s - env.now
             yield slot | env.timeout(max(0.0, patience_s))
             if not slot.triggered:
-                return made
+                return generated
             decode_engine.answers += 1
             has_pauses = answers.events.mean >= MIN_PAUSE_SENSITIVE_EVENTS
-            decode_engine.prefill_s += self.load.making.start_block_s
+            decode_engine.prefill_s += self.load.decode_model.start_block_s
             last_at, total = env.now, int(prompt.model)
-            while made.made < total:
+            while generated.event_count < total:
                 yield from self._wait_for_event(name, decode_engine)
                 if env.now > arrived_at + answers.limit_s:
                     break
-                made.made += 1
-                if made.first_at is None:
-                    made.first_at = env.now
+                generated.event_count += 1
+                if generated.first_at is None:
+                    generated.first_at = env.now
                     if has_pauses:
                         note_answer_begun(engine, env.now)
                     if env.now > arrived_at + kind.patience_s:
                         break
                 else:
-                    made.longest_s = max(made.longest_s, env.now - last_at)
+                    generated.longest_s = max(generated.longest_s, env.now - last_at)
                     if has_pauses:
                         note_answer_event(engine, env.now)
-                    note(env.now - last_at, made.made)
+                    note(env.now - last_at, generated.event_count)
                 last_at = env.now
             decode_engine.answers -= 1
-            if made.first_at is not None and has_pauses:
+            if generated.first_at is not None and has_pauses:
                 note_answer_ended(engine)
-        made.is_whole = made.made >= total
-        return made
+        generated.is_whole = generated.event_count >= total
+        return generated
 
     def _wait_for_event(self, name, decode_engine):
         """Wait for the next event, which is delayed by prefill beside it."""
-        making, env = self.load.making, self.env
-        left_s = making.event_s + making.extra_answer_s * decode_engine.answers
+        decode_model, env = self.load.decode_model, self.env
+        left_s = (
+            decode_model.event_s + decode_model.extra_answer_s * decode_engine.answers
+        )
         left_s *= 3.0 if name in self.load.slow else 1.0
         while left_s > MIN_EVENT_REST_S:
             before_s = decode_engine.find_prefill_s(env.now)
             yield env.timeout(left_s)
-            left_s = making.prefill_block_share * (
+            left_s = decode_model.prefill_block_share * (
                 decode_engine.find_prefill_s(env.now) - before_s
             )
 
     def _find_size(self, prompt):
-        answer_tokens = int(prompt.model) * self.load.making.event_tokens
+        answer_tokens = int(prompt.model) * self.load.decode_model.event_tokens
         return prompt.tokens + ANSWER_TOKEN_WEIGHT * answer_tokens
 
-    def _note_answer(self, kind, prompt, events, arrived_at, answers):
+    def _note_answer(self, kind, prompt, progress, arrived_at, answers):
         outcome = self.outcome
         size = self._find_size(prompt)
         in_time = (
-            events.is_whole and events.first_at - arrived_at <= kind.latency_objective_s
+            progress.is_whole
+            and progress.first_at - arrived_at <= kind.latency_objective_s
         )
-        if events.is_whole and events.longest_s > answers.gap_s:
+        if progress.is_whole and progress.longest_s > answers.gap_s:
             outcome.paused += 1
             in_time = False
-        if not events.is_whole:
-            outcome.cut += events.made > 0
-            outcome.unbegun += events.made == 0
+        if not progress.is_whole:
+            outcome.cut += progress.event_count > 0
+            outcome.unbegun += progress.event_count == 0
         outcome.in_time += in_time
-        outcome.late += events.is_whole and not in_time
-        outcome.refused += not events.is_whole
-        last = "in time" if in_time else "late" if events.is_whole else "left"
-        outcome.ended.append(Ended(kind.name, size, events.is_whole, last))
+        outcome.late += progress.is_whole and not in_time
+        outcome.refused += not progress.is_whole
+        last = "in time" if in_time else "late" if progress.is_whole else "left"
+        outcome.ended.append(Ended(kind.name, size, progress.is_whole, last))
 
     def _note_end(self, kind, prompt, taken_s):
         """Record a refusal; all other ends are recorded with their answers."""
@@ -393,13 +403,13 @@
     """Progress of one answer.
 
     Attributes:
-        made: Events that were generated.
+        event_count: Number of events that were generated.
         first_at: Time of the first event, seconds; None if there is none.
         longest_s: The longest pause between two events, seconds.
         is_whole: Whether all events were generated before the caller left.
     """
 
-    made: int = 0
+    event_count: int = 0
     first_at: float | None = None
     longest_s: float = 0.0
     is_whole: bool = False
@@ -435,10 +445,10 @@
         "assignment": Answers(Length(2.0, 0.6, 6.0), 0.2, 2.0),
         "note": Answers(Length(90.0, 0.7, 214.0), 0.2, 15.0),
     }
-    making = DecodeModel(
+    decode_model = DecodeModel(
         96, 0.036, 0.0004, 57, prefill_block_share=0.7, start_block_s=0.008
     )
     return AnswerLoad(
         per_s=0.0, kinds=kinds, tokens_per_s=346_000, cache_tokens=872_000,
-        gives_turns=True, answers=answers, making=making, **more,
+        gives_turns=True, answers=answers, decode_model=decode_model, **more,
     )  # fmt: skip
