--- a/src/robinspindle/core/forwarding.py
+++ b/src/robinspindle/core/forwarding.py
@@ -76,7 +76,8 @@
         prompt: Its description of the prompt; None for a plain request.
         caller: The caller's identity, as far as known: its credentials, or the
             workspace that they belong to; empty if there are none.
-        key: Its idempotency key; None if missing or malformed.
+        key: The bearer key that it carries, by which its workspace is found; None if
+            missing or malformed.
     """
 
     id: str
